--- a/packages/scheduling/include/cuminroad/scheduling/Command.h
+++ b/packages/scheduling/include/cuminroad/scheduling/Command.h
@@ -10,34 +10,35 @@
 
 namespace cuminroad {
 
-/// Start a task on a VM.
+/// Starts a task on a VM.
 struct StartTask {
   std::string Vm;
   TaskAttempt Task;
   Capacity Size;
+  /// Declared run time; 0 for tasks that run until cancelled.
   milliseconds Duration{0};
-  /// The start must be in the table before it is sent, since the task may
-  /// never run twice.
+  /// The start must be persisted before it is sent, since the task may never
+  /// run twice.
   bool RecordBeforeStart = false;
 };
 
-/// Stop a task, after a checkpoint where asked for.
+/// Stops a task, after a checkpoint if \c Checkpoint is set.
 struct StopTask {
   std::string Vm;
   TaskAttempt Task;
   bool Checkpoint = false;
 };
 
-/// Hold a task to the processors that it declared.
+/// Limits a task to the processors that it declared.
 struct ThrottleTask {
   std::string Vm;
   TaskAttempt Task;
   std::int64_t MilliCores = 0;
 };
 
-/// How a job came to its end.
+/// How a job ended.
 enum class JobOutcome {
-  /// Every task ran to its end with exit code 0.
+  /// Every task ended with exit code 0.
   Done,
   /// At least one task ended with another exit code.
   Failed,
@@ -46,13 +47,13 @@
   Unknown,
 };
 
-/// All tasks of a job have ended.
+/// Reports that all tasks of a job have ended or are lost.
 struct EndJob {
   std::string Job;
   JobOutcome Outcome;
 };
 
-/// What the scheduler wants done.
+/// A decision of the scheduler, to be carried out by its caller.
 using Command = std::variant<StartTask, StopTask, ThrottleTask, EndJob>;
 
 } // namespace cuminroad
--- a/packages/scheduling/include/cuminroad/scheduling/JobSpec.h
+++ b/packages/scheduling/include/cuminroad/scheduling/JobSpec.h
@@ -18,28 +18,30 @@
   Service,
   /// Tasks are independent and packed tightly.
   Batch,
-  /// All tasks start together or none does.
+  /// All tasks start together, or none starts.
   Gang,
 };
 
-/// What a caller submits.
+/// A job as a caller submits it.
 struct JobSpec {
   std::string Id;
   std::string Customer;
   JobKind Kind = JobKind::Batch;
   int Tasks = 1;
   Capacity PerTask;
-  /// Declared run time of one task; 0 for tasks that run until cancelled.
+  /// Declared run time of a task; 0 for tasks that run until cancelled.
   milliseconds Duration{0};
-  /// Whether a task whose VM was lost may run again from its start.
+  /// Whether a task whose VM was lost may be started again from the beginning.
   bool Restartable = true;
-  /// Whether a task may be checkpointed and stopped for urgent work.
+  /// Whether a task may be checkpointed and stopped to make room for urgent
+  /// ones.
   bool Checkpointable = false;
 };
 
+/// \returns the name of \p Kind in JSON.
 std::string_view jobKindName(JobKind Kind);
 
-/// Parses a job as callers submit it; every field is checked.
+/// Parses a submitted job and checks the type and range of every field.
 Result<JobSpec> parseJobSpec(const nlohmann::json &Input);
 nlohmann::json toJson(const JobSpec &Spec);
 
--- a/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
+++ b/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
@@ -19,92 +19,97 @@
 
 namespace cuminroad {
 
-/// What a VM reports about one task when it is claimed.
+/// A task that a VM reports when it is claimed.
 struct InventoryTask {
   TaskAttempt Task;
   Capacity Size;
 };
 
-/// What the table knows of a job that a new owner takes over.
+/// The persisted state of a job that a new owner takes over.
 struct RecoveredJob {
   JobSpec Spec;
-  /// How long ago the job was accepted.
+  /// Time since the job was accepted.
   milliseconds Age{0};
-  /// Tasks that ended, with whether each of them failed.
+  /// Indexes of tasks that ended, and whether each of them failed.
   std::vector<std::pair<int, bool>> Ended;
-  /// Tasks that may not run twice and whose start was recorded.
+  /// Indexes of tasks that may not run twice and whose start was persisted.
   std::set<int> RecordedStarts;
   bool Cancelled = false;
 };
 
-/// Decides which task runs on which VM of one failure domain. Events go in,
-/// commands come out; it does no I/O, starts no thread and knows the time only
-/// from its clock.
+/// Decides which task runs on which VM of one failure domain. It takes events
+/// and returns commands; it does no I/O, starts no threads and reads the time
+/// only from its clock.
 ///
-/// Invariant: the sizes of all tasks that may run on a VM never exceed the
-/// VM's capacity, and those of one customer never exceed its limit. A task
-/// counts from its start command until its end is certain.
+/// Invariant: the total size of all tasks that may run on a VM never exceeds
+/// the VM's capacity, and the total size of a customer's tasks never exceeds
+/// its limit. A task counts from its start command until its end is certain.
 class Scheduler {
 public:
   virtual ~Scheduler() = default;
 
-  /// Adds a VM or changes its description. A new VM is unclaimed: anything may
-  /// run on it.
+  /// Adds a VM or updates its description. A new VM is unclaimed: unknown tasks
+  /// may run on it.
   virtual void listVm(const VmSpec &Spec) = 0;
-  /// The VM's lease is held and \p Inventory is all that runs there.
+  /// Reports that the VM's lease is held and that exactly the tasks of
+  /// \p Inventory run there.
   virtual void vmClaimed(std::string_view Vm,
                          std::span<const InventoryTask> Inventory) = 0;
-  /// The VM takes no new work; what runs there may end.
+  /// Reports that the VM takes no new tasks; running tasks may end there.
   virtual void vmLeaving(std::string_view Vm) = 0;
-  /// Nothing runs on the VM any more, for certain: it is finally gone, or the
-  /// leases of all its tasks have lapsed. A VM that is not \p Permanently must
-  /// be claimed again before it is used.
+  /// Reports that certainly no task runs on the VM any more: either it is gone
+  /// for ever (\p Permanently), or the leases of all its tasks have lapsed and
+  /// it must be claimed again before it is used.
   virtual void vmEmptied(std::string_view Vm, bool Permanently) = 0;
 
-  /// Sets the customer's limit in this domain; running tasks are kept.
+  /// Sets the customer's limit in this failure domain; running tasks continue.
   virtual void setLimit(std::string_view Customer,
                         const ContractTerms &Terms) = 0;
-  /// The customer gets no new starts; running tasks are kept.
+  /// Starts no more tasks of the customer; running tasks continue.
   virtual void removeLimit(std::string_view Customer) = 0;
 
-  /// \returns nothing, or the reason why the job can never run.
-  /// \param MaxLimit the most that the customer's limit can become here.
+  /// \param MaxLimit the largest limit that the customer can get in this
+  /// failure domain. \returns nothing, or the reason why the job can never run.
   virtual Result<void> checkFeasible(const JobSpec &Spec,
                                      const Capacity &MaxLimit) const = 0;
-  /// Queues a job that passed checkFeasible() and is in the table.
+  /// Queues a job that passed checkFeasible() and is persisted.
   virtual void submit(const JobSpec &Spec) = 0;
   /// Queues a job of an earlier owner. None of its tasks starts until every VM
-  /// listed so far is claimed or empty, since it may run on any of them.
+  /// listed so far is claimed or reported as empty, since they may run on any
+  /// of them.
   virtual void recover(const RecoveredJob &Job) = 0;
   virtual void cancel(std::string_view Job) = 0;
 
+  /// Reports that the VM started the task.
   virtual void taskStarted(const TaskAttempt &Task) = 0;
-  /// The VM certainly did not start the task.
+  /// Reports that the VM certainly didn't start the task.
   virtual void startRefused(const TaskAttempt &Task) = 0;
-  /// The task ended on its VM. \p Stopped means that it was stopped before its
-  /// own end.
+  /// Reports that the task ended on its VM.
+  /// \param Stopped whether it was stopped before it ended by itself.
   virtual void taskEnded(const TaskAttempt &Task, bool Failed,
                          bool Stopped) = 0;
-  /// What the task uses, as reported with a lag.
+  /// Reports what the task used a short time ago.
   virtual void usageReported(const TaskAttempt &Task, const Capacity &Used) = 0;
 
-  /// Starts what can be started and handles what became due.
+  /// Starts the tasks that fit, and ends quarantines and reservations that are
+  /// due.
   virtual void schedule() = 0;
-  /// \returns the commands since the last call, in order.
+  /// \returns the commands issued since the last call, in order.
   virtual std::vector<Command> takeCommands() = 0;
 
   virtual std::optional<JobView> job(std::string_view Id) const = 0;
   virtual std::vector<JobView> jobs() const = 0;
   virtual std::vector<VmView> vms() const = 0;
-  /// \returns what the customer holds in this domain.
+  /// \returns the capacity allocated to the customer's tasks in this failure
+  /// domain.
   virtual Capacity held(std::string_view Customer) const = 0;
-  /// \returns the size of all the customer's waiting tasks.
+  /// \returns the total size of the customer's waiting tasks.
   virtual Capacity waitingSize(std::string_view Customer) const = 0;
-  /// Whether all that runs on the listed VMs is known.
+  /// Whether it is known which tasks run on every listed VM.
   virtual bool inventoriesKnown() const = 0;
 };
 
-/// \param Epoch the owner's epoch; attempts of a later epoch are larger.
+/// \param Epoch the owner's epoch; attempt numbers grow with it.
 /// \param MonotonicClock must outlive the scheduler.
 std::unique_ptr<Scheduler> makeScheduler(const Clock &MonotonicClock,
                                          const SchedulerOptions &Options,
--- a/packages/scheduling/include/cuminroad/scheduling/SchedulerOptions.h
+++ b/packages/scheduling/include/cuminroad/scheduling/SchedulerOptions.h
@@ -5,28 +5,31 @@
 
 namespace cuminroad {
 
-/// Bounds of the scheduler's policies.
+/// Limits and delays of the scheduler's policies.
 struct SchedulerOptions {
-  /// Jobs of one customer looked at behind a blocked one.
+  /// Number of jobs tried at the front of a customer's queue.
   int BackfillDepth = 16;
-  /// A job blocked this long gets capacity reserved.
+  /// A job that has been blocked for this long gets VMs reserved.
   milliseconds ReserveAfter{2000};
-  /// A reservation that did not lead to a start ends after this.
+  /// A reservation that hasn't led to a start expires after this time.
   milliseconds ReservationTimeout{120000};
-  /// Consecutive failures that put a VM into quarantine.
+  /// Consecutive failures after which a VM is quarantined.
   int FailuresToQuarantine = 3;
-  /// First quarantine; doubles up to the maximum.
+  /// Length of the first quarantine; each further one doubles it, up to the
+  /// maximum.
   milliseconds QuarantineMin{15000};
   milliseconds QuarantineMax{600000};
-  /// A task that fails sooner than this counts against its VM.
+  /// A task that fails within this time of its start counts as a failure of its
+  /// VM.
   milliseconds EarlyFailureTime{2000};
-  /// Share of the waiting time left, in percent, at which a job goes before
-  /// fair share.
+  /// A job with less than this percentage of its time to start left is placed
+  /// before the jobs in fair share order.
   int NearDeadlinePercent = 25;
-  /// Delay before a refused task is tried again; doubles up to the maximum.
+  /// Delay before a refused start is retried; each further refusal of the job
+  /// doubles it, up to the maximum.
   milliseconds RetryDelayMin{50};
   milliseconds RetryDelayMax{5000};
-  /// Use above the declared size, in percent, that is tolerated.
+  /// Percentage by which a task may exceed its declared size.
   int OveruseTolerancePercent = 10;
 };
 
--- a/packages/scheduling/include/cuminroad/scheduling/SchedulerView.h
+++ b/packages/scheduling/include/cuminroad/scheduling/SchedulerView.h
@@ -10,16 +10,17 @@
 
 namespace cuminroad {
 
-/// What a VM is good for at present.
+/// Whether a VM can take tasks.
 enum class VmCondition { Unclaimed, Usable, Leaving, Gone };
 
-/// A VM as operators see it.
+/// The state of a VM, for operators.
 struct VmView {
   std::string Id;
   VmCondition Condition = VmCondition::Unclaimed;
   Capacity Total;
   Capacity FreeCapacity;
   bool Quarantined = false;
+  /// Whether the VM is reserved for a blocked job.
   bool Reserved = false;
   int TaskCount = 0;
 };
@@ -27,21 +28,22 @@
 /// Why the next task of a job waits.
 enum class WaitReason {
   NotWaiting,
-  /// Its turn has not come.
+  /// Other jobs are placed first.
   Queued,
-  /// The customer's capacity is in use.
+  /// The customer's limit is used up.
   CustomerLimit,
-  /// No VM has room.
+  /// No VM has enough free capacity.
   NoRoom,
-  /// A new owner does not yet know whether it runs somewhere.
+  /// A new owner doesn't know yet whether the task runs on some VM.
   Recovery,
-  /// A refused start is retried after a delay.
+  /// A start was refused and is retried after a delay.
   RetryDelay,
 };
 
-/// A job as callers and operators see it.
+/// The state of a job, for callers and operators.
 struct JobView {
   JobSpec Spec;
+  /// Numbers of tasks.
   int WaitingCount = 0;
   int StartingCount = 0;
   int RunningCount = 0;
@@ -49,11 +51,14 @@
   int FailedCount = 0;
   int LostCount = 0;
   bool Cancelled = false;
+  /// Time since the job was accepted.
   milliseconds Waited{0};
+  /// Time after its acceptance within which the job must start.
   milliseconds StartWithin{0};
   WaitReason Reason = WaitReason::NotWaiting;
 };
 
+/// The names in JSON.
 std::string_view vmConditionName(VmCondition Condition);
 std::string_view waitReasonName(WaitReason Reason);
 
--- a/packages/scheduling/include/cuminroad/scheduling/TaskRef.h
+++ b/packages/scheduling/include/cuminroad/scheduling/TaskRef.h
@@ -7,7 +7,7 @@
 
 namespace cuminroad {
 
-/// Names one task of a job.
+/// Identifies a task by its job and its index in the job.
 struct TaskRef {
   std::string Job;
   int Index = 0;
@@ -18,8 +18,8 @@
   }
 };
 
-/// One start of a task. Attempts of one task only rise, also over changes of
-/// the domain's owner.
+/// One start of a task. Attempt numbers of a task only grow, also when the
+/// failure domain gets another owner.
 struct TaskAttempt {
   TaskRef Task;
   std::int64_t Attempt = 0;
--- a/packages/scheduling/include/cuminroad/scheduling/VmSpec.h
+++ b/packages/scheduling/include/cuminroad/scheduling/VmSpec.h
@@ -7,7 +7,7 @@
 
 namespace cuminroad {
 
-/// A VM as the platform lists it.
+/// A VM as listed by the platform.
 struct VmSpec {
   std::string Id;
   std::string Domain;
@@ -17,7 +17,7 @@
   /// Base URL of the backend server.
   std::string Url;
   Capacity Total;
-  /// Service requests that the backend server runs at a time.
+  /// Number of service requests that the backend server runs concurrently.
   int Slots = 0;
   int Connections = 0;
 
--- a/packages/scheduling/src/CustomerState.h
+++ b/packages/scheduling/src/CustomerState.h
@@ -11,20 +11,21 @@
 
 namespace cuminroad {
 
-/// A customer in the scheduler's table.
+/// A customer in the scheduler's tables.
 struct CustomerState {
   std::string Name;
-  /// The limit in this domain; none without a contract in force.
+  /// The limit in this failure domain; none without a contract in force.
   std::optional<ContractTerms> Limit;
   Capacity HeldCapacity;
-  /// Jobs with waiting tasks, by the time by which they must start.
+  /// Jobs with waiting tasks, sorted by the time by which they must start.
   std::vector<int> Queue;
-  /// Real over declared run time, smoothed.
+  /// Exponential moving average of actual over declared run time.
   double RunTimeRatio = 1.0;
 
   bool urgent() const { return Limit && Limit->Urgent; }
 
-  /// \returns the largest share of the limit in use, over all its parts.
+  /// \returns the largest fraction of the limit in use, over processors, memory
+  /// and accelerators.
   double dominantShare() const {
     if (!Limit)
       return 1.0;
--- a/packages/scheduling/src/FreedVmLog.h
+++ b/packages/scheduling/src/FreedVmLog.h
@@ -9,11 +9,11 @@
 
 namespace cuminroad {
 
-/// The order in which VMs gained room. A job that found no room at one
-/// position needs to look only at the VMs noted since.
+/// The VMs whose free capacity grew, in order. A job that fitted on no VM at
+/// one position needs to try only the VMs appended since.
 class FreedVmLog {
 public:
-  /// Notes that VM \p Vm has more room than before.
+  /// Appends a VM whose free capacity grew. A full log is cleared first.
   void append(int Vm) {
     if (Entries_.size() >= MaxEntries) {
       FirstPosition_ += Entries_.size();
@@ -23,8 +23,8 @@
   }
   /// \returns the position behind the last entry.
   std::uint64_t endPosition() const { return FirstPosition_ + Entries_.size(); }
-  /// \returns the VMs noted from \p Position on, with repeats, or nothing where
-  /// the log no longer reaches back that far. Valid until the next append().
+  /// \returns the VMs appended from \p Position on, with duplicates, or nothing
+  /// where those entries were cleared. Valid until the next append().
   std::optional<std::span<const int>>
   entriesSince(std::uint64_t Position) const {
     if (Position < FirstPosition_)
--- a/packages/scheduling/src/JobState.h
+++ b/packages/scheduling/src/JobState.h
@@ -10,9 +10,10 @@
 
 namespace cuminroad {
 
+/// What a task is doing.
 enum class TaskPhase : std::uint8_t {
   Waiting,
-  /// Holds its place, but waits for preempted tasks to stop.
+  /// Its capacity is allocated, but preempted tasks on the VM haven't stopped.
   AwaitingPreemption,
   Starting,
   Running,
@@ -21,26 +22,28 @@
   Lost,
 };
 
-/// A task in the scheduler's table.
+/// A task in the scheduler's tables.
 struct TaskState {
   TaskPhase Phase = TaskPhase::Waiting;
   /// The task is to be queued again once its stop is confirmed.
   bool Requeue = false;
   bool Throttled = false;
-  /// An earlier run came to its end; this one is being stopped.
+  /// An earlier attempt ended by itself, so this one is being stopped.
   bool EarlierAttemptEnded = false;
+  /// Index of the VM, or -1.
   int Vm = -1;
   std::int64_t Attempt = 0;
   TimePoint StartedAt{};
-  /// What the task holds of its VM and its customer's limit.
+  /// Capacity allocated on the VM and counted towards the customer's limit.
   Capacity HeldCapacity;
 };
 
-/// A job in the scheduler's table.
+/// A job in the scheduler's tables.
 struct JobState {
   JobSpec Spec;
   int Customer = -1;
   TimePoint AcceptedAt{};
+  /// The time by which the job must start.
   TimePoint StartBy{};
   std::vector<TaskState> Tasks;
   /// Indexes of waiting tasks.
@@ -52,13 +55,15 @@
   int FailedCount = 0;
   int LostCount = 0;
   bool Cancelled = false;
+  /// Whether the job is in its customer's queue.
   bool Queued = false;
-  /// A new owner does not yet know what of it runs.
+  /// Set until a new owner knows which of the job's tasks run.
   bool RecoveryPending = false;
-  /// Position in the log of freed VMs up to which the job found no room.
+  /// Position in the log of freed VMs up to which the job fitted on no VM.
   std::uint64_t BlockedPosition = 0;
   bool Blocked = false;
   int RefusedStarts = 0;
+  /// No task of the job is placed before this, after a refused start.
   TimePoint NotBefore{};
   TimePoint BlockedSince{};
   WaitReason Reason = WaitReason::Queued;
--- a/packages/scheduling/src/PackingScheduler.cpp
+++ b/packages/scheduling/src/PackingScheduler.cpp
@@ -6,8 +6,11 @@
 
 namespace {
 
+/// Attempt numbers hold the owner's epoch above this many bits of a counter, so
+/// that attempts of a later owner are larger.
 constexpr int AttemptBits = 32;
-/// Weight of the newest task in the smoothed run time ratio.
+/// Weight of the latest task in the exponential moving average of the run time
+/// ratio.
 constexpr double RunTimeWeight = 0.2;
 constexpr double RunTimeRatioMin = 0.1;
 constexpr double RunTimeRatioMax = 20.0;
@@ -76,8 +79,8 @@
     if (Task.Phase == TaskPhase::AwaitingPreemption ||
         ReportedTasks.contains(Attempt))
       continue;
-    // The claim's fence keeps a start that is still under way from being
-    // taken, so a task that was starting certainly does not run.
+    // The claim's fencing token makes the VM reject a start that is still on
+    // its way, so a task in the Starting phase certainly doesn't run.
     const bool NeverStarted =
         Task.Phase == TaskPhase::Starting && !Job.Cancelled;
     releaseCapacity(Handle);
@@ -97,7 +100,8 @@
       KnownTask && KnownTask->Vm == Vm) {
     if (KnownTask->Phase == TaskPhase::Starting)
       KnownTask->Phase = TaskPhase::Running;
-    // A stop that was under way is void under the new claim.
+    // A stop sent under the previous claim has no effect any more, so it is
+    // sent again.
     if (KnownTask->Phase == TaskPhase::Stopping)
       Commands_.push_back(StopTask{Vms_[Vm].Spec.Id, Entry.Task, false});
     return;
@@ -253,7 +257,8 @@
     const TaskHandle Handle{Index, Task};
     switch (Job->Tasks[Task].Phase) {
     case TaskPhase::Waiting:
-      // A suspect task may run somewhere; it ends when all VMs have answered.
+      // During recovery the task may run on a VM whose inventory isn't known;
+      // finishRecovery() ends it.
       if (!Job->RecoveryPending)
         markTaskEnded(Handle, false);
       break;
@@ -387,7 +392,7 @@
     endJobIfDone(Handle.Job);
     return true;
   }
-  // A later run holds its place until its stop is confirmed.
+  // A later attempt keeps its allocation until its stop is confirmed.
   if (CurrentTask.Vm < 0 || CurrentTask.Attempt <= Task.Attempt)
     return false;
   if (std::exchange(CurrentTask.EarlierAttemptEnded, true))
@@ -410,7 +415,7 @@
   Vm.Quarantined = true;
   Vm.Probation = false;
   Vm.QuarantinedUntil = MonotonicClock_.now() + QuarantineTime;
-  NextQuarantineEnd_ = std::min(NextQuarantineEnd_, Vm.QuarantinedUntil);
+  NextQuarantineCheck_ = std::min(NextQuarantineCheck_, Vm.QuarantinedUntil);
 }
 
 void PackingScheduler::recordVmSuccess(int Index) {
@@ -432,7 +437,7 @@
   const auto Exceeds = [this](std::int64_t Use, std::int64_t Declared) {
     return Use * 100 > Declared * (100 + Options_.OveruseTolerancePercent);
   };
-  // Processors can be held back, memory can't.
+  // Processor use can be throttled, memory use can't.
   if (Exceeds(Used.MilliCores, State->HeldCapacity.MilliCores) &&
       !State->Throttled) {
     State->Throttled = true;
@@ -453,7 +458,7 @@
   const bool Fits = Growth.fitsIn(Vms_[Task.Vm].FreeCapacity) &&
                     Growth.fitsIn(headroom(Customer));
   if (!Fits) {
-    // It would take memory that others were promised.
+    // The task would use memory that is allocated to others.
     stopTask(Handle, true, Job.Spec.Checkpointable);
     return;
   }
--- a/packages/scheduling/src/PlacementPolicy.cpp
+++ b/packages/scheduling/src/PlacementPolicy.cpp
@@ -13,7 +13,8 @@
                     : static_cast<double>(Part) / static_cast<double>(Total);
 }
 
-/// What is left of the VM after the task, as the sum of the shares.
+/// \returns the capacity that the VM has left with the task on it: the sum of
+/// the fractions of processors, memory and accelerators.
 double remainingFraction(const VmState &Vm, const Capacity &Size) {
   const Capacity Remaining = Vm.FreeCapacity - Size;
   return fraction(Remaining.MilliCores, Vm.Spec.Total.MilliCores) +
--- a/packages/scheduling/src/PlacementPolicy.h
+++ b/packages/scheduling/src/PlacementPolicy.h
@@ -9,21 +9,22 @@
 
 namespace cuminroad {
 
-/// Chooses among the VMs that have room for a task.
+/// Chooses among the VMs that have enough free capacity for a task.
 class PlacementPolicy {
 public:
   virtual ~PlacementPolicy() = default;
-  /// \param Vms the whole table of VMs.
-  /// \param Candidates indexes of VMs that have room; never empty.
+  /// \param Vms all VMs.
+  /// \param Candidates indexes of the VMs that fit the task; never empty.
   /// \returns the index of the best one.
   virtual int choose(std::span<const VmState> Vms, const JobState &Job,
                      std::span<const int> Candidates) const = 0;
 };
 
-/// Fills the VM that is left with the least room. VMs with accelerators come
-/// last for tasks that need none.
+/// Best fit: chooses the VM that is left with the least free capacity. VMs with
+/// accelerators come last for tasks that need none.
 const PlacementPolicy &bestFit();
-/// Spreads a job over racks first and VMs second, then fits tightly.
+/// Chooses the rack, then the VM, with the fewest tasks of the job, then the
+/// best fit. VMs with accelerators come last for tasks that need none.
 const PlacementPolicy &rackSpread();
 /// \returns the policy for jobs of \p Kind.
 const PlacementPolicy &placementPolicy(JobKind Kind);
--- a/packages/scheduling/src/PreemptionPlan.cpp
+++ b/packages/scheduling/src/PreemptionPlan.cpp
@@ -14,8 +14,9 @@
          !Customers[Job.Customer].urgent();
 }
 
-/// Adds the largest victims until the task fits; then drops those that turned
-/// out not to be needed.
+/// Adds tasks, those with the most processors first, until the urgent task
+/// fits; then drops those that turn out not to be needed. \returns nothing
+/// where the urgent task doesn't fit.
 std::vector<TaskHandle> selectVictims(const Capacity &Size, const VmState &Vm,
                                       std::vector<TaskHandle> PreemptibleTasks,
                                       std::span<const JobState> Jobs) {
@@ -53,10 +54,12 @@
                std::span<const JobState> Jobs,
                std::span<const CustomerState> Customers) {
   PreemptionPlan Best;
+  // Milli-cores of the preempted tasks.
   std::int64_t BestCost = 0;
   for (std::size_t Index = 0; Index < Vms.size(); ++Index) {
     const VmState &Vm = Vms[Index];
-    // A VM with negative room already makes place for another urgent task.
+    // Negative free capacity means that tasks are being preempted here for
+    // another urgent task.
     if (!Vm.acceptsTasks() || !Size.fitsIn(Vm.Spec.Total) ||
         !Capacity{}.fitsIn(Vm.FreeCapacity))
       continue;
--- a/packages/scheduling/src/PreemptionPlan.h
+++ b/packages/scheduling/src/PreemptionPlan.h
@@ -11,16 +11,17 @@
 
 namespace cuminroad {
 
-/// A VM and the tasks to stop there to make room.
+/// A VM and the tasks to stop there so that an urgent task fits.
 struct PreemptionPlan {
   int Vm = -1;
   std::vector<TaskHandle> Victims;
 };
 
-/// Finds the VM where an urgent task displaces the least work. Only running
-/// tasks that can be checkpointed and belong to customers without urgency are
-/// displaced.
-/// \returns nothing where no VM can make room.
+/// Finds the VM on which preempting for an urgent task of \p Size stops tasks
+/// with the fewest processors in total. Only running tasks that can be
+/// checkpointed, are not part of a gang and belong to customers that are not
+/// urgent are preempted.
+/// \returns nothing where preemption frees enough capacity on no VM.
 std::optional<PreemptionPlan>
 planPreemption(const Capacity &Size, std::span<const VmState> Vms,
                std::span<const JobState> Jobs,
--- a/packages/scheduling/src/ReservationPlan.cpp
+++ b/packages/scheduling/src/ReservationPlan.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// A task that outran its declared time is expected to take this much more.
+/// Expected remaining time of a task that has exceeded its expected run time.
 constexpr milliseconds OverrunEstimate{1000};
 
+/// A time from which a VM fits this many more tasks of the job.
 struct CapacityGain {
   TimePoint Time;
   int Vm;
@@ -27,7 +28,8 @@
   return static_cast<int>(Count);
 }
 
-/// Appends the times at which \p Vm can hold more tasks of the job.
+/// Appends the times at which running tasks of \p Vm end and more tasks of the
+/// job fit.
 void appendCapacityGains(std::vector<CapacityGain> &Gains, int Index,
                          const JobState &Job, TimePoint Now, const VmState &Vm,
                          std::span<const JobState> Jobs,
--- a/packages/scheduling/src/ReservationPlan.h
+++ b/packages/scheduling/src/ReservationPlan.h
@@ -11,16 +11,16 @@
 
 namespace cuminroad {
 
-/// The VMs on which a blocked job can start soonest, and when.
+/// The VMs on which a blocked job can start soonest, and the time when it can.
 struct ReservationPlan {
   std::vector<int> Vms;
   TimePoint StartTime{};
 };
 
-/// Plans from the expected ends of running tasks: declared run times, corrected
-/// by what the customer's earlier tasks really took.
-/// \returns nothing where even the end of all tasks with a known run time
-/// would not make room.
+/// Plans from the expected ends of running tasks: their declared run times
+/// times the customer's average ratio of actual to declared run time. \returns
+/// nothing where the job wouldn't fit even after the end of all tasks with a
+/// declared run time.
 std::optional<ReservationPlan>
 planReservation(const JobState &Job, TimePoint Now,
                 std::span<const VmState> Vms, std::span<const JobState> Jobs,
--- a/packages/scheduling/src/SchedulingPass.cpp
+++ b/packages/scheduling/src/SchedulingPass.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+/// Priority classes, highest first.
 enum CustomerClass { UrgentCustomer, NearDeadlineCustomer, FairShareCustomer };
 
 } // namespace
@@ -69,7 +70,8 @@
     return false;
   }
   const bool Gang = Job.Spec.Kind == JobKind::Gang;
-  // A gang that is being stopped starts again only as a whole.
+  // A gang with tasks still stopping waits for them, since all of its tasks
+  // start together.
   if (Gang && std::any_of(Job.Tasks.begin(), Job.Tasks.end(),
                           [](const TaskState &Task) {
                             return Task.Phase == TaskPhase::Stopping;
@@ -119,7 +121,8 @@
     allocate(PlacedTasks.back(), Vm, Job.TaskSize, TaskPhase::Starting);
   }
   if (PlacedTasks.size() < Job.WaitingTasks.size()) {
-    // The room was there before, so other blocked jobs need not look again.
+    // This capacity was free before the attempt, so it isn't appended to
+    // FreedVms_: blocked jobs have already been tried against it.
     for (const TaskHandle &Handle : PlacedTasks) {
       deallocate(Handle);
       Job.Tasks[Handle.Index].Phase = TaskPhase::Waiting;
@@ -171,7 +174,9 @@
 }
 
 void PackingScheduler::startAfterPreemption(int Index) {
-  // A VM that is being given up frees room too.
+  // Capacity is also freed on VMs that are leaving or lost; tasks don't start
+  // there. Negative free capacity means that preempted tasks haven't all
+  // stopped.
   if (Vms_[Index].condition() != VmCondition::Usable ||
       !Capacity{}.fitsIn(Vms_[Index].FreeCapacity))
     return;
@@ -180,7 +185,8 @@
     const JobState &Job = Jobs_[Handle.Job];
     if (Job.Tasks[Handle.Index].Phase != TaskPhase::AwaitingPreemption)
       continue;
-    // The limit may have been lowered while the room was being made.
+    // The customer's limit may have been lowered while the preempted tasks were
+    // stopping.
     const CustomerState &Customer = Customers_[Job.Customer];
     if (Customer.Limit && (Customer.HeldCapacity + capacityAwaitingInventory())
                               .fitsIn(Customer.Limit->MaxHeld)) {
@@ -234,8 +240,8 @@
     return;
   const auto Plan =
       planReservation(Job, MonotonicClock_.now(), Vms_, Jobs_, Customers_);
-  // Counts from here again, so that a job without a plan, or one whose
-  // reservation ended, leaves the next turn to others.
+  // Restarts the wait, so that a job without a plan, or one whose reservation
+  // expired, doesn't keep other jobs from a reservation.
   Job.BlockedSince = MonotonicClock_.now();
   if (!Plan)
     return;
@@ -264,15 +270,16 @@
 
 void PackingScheduler::expireQuarantines() {
   const TimePoint Now = MonotonicClock_.now();
-  if (Now < NextQuarantineEnd_)
+  if (Now < NextQuarantineCheck_)
     return;
-  NextQuarantineEnd_ = TimePoint::max();
+  NextQuarantineCheck_ = TimePoint::max();
   for (int Index = 0; Index < static_cast<int>(Vms_.size()); ++Index) {
     VmState &Vm = Vms_[Index];
     if (!Vm.Quarantined)
       continue;
     if (Now < Vm.QuarantinedUntil) {
-      NextQuarantineEnd_ = std::min(NextQuarantineEnd_, Vm.QuarantinedUntil);
+      NextQuarantineCheck_ =
+          std::min(NextQuarantineCheck_, Vm.QuarantinedUntil);
       continue;
     }
     Vm.Quarantined = false;
@@ -298,8 +305,8 @@
     if (Proven)
       recordVmSuccess(Index);
     else
-      NextQuarantineEnd_ =
-          std::min(NextQuarantineEnd_, Now + Options_.EarlyFailureTime);
+      NextQuarantineCheck_ =
+          std::min(NextQuarantineCheck_, Now + Options_.EarlyFailureTime);
   }
 }
 
--- a/packages/scheduling/src/VmState.h
+++ b/packages/scheduling/src/VmState.h
@@ -10,31 +10,33 @@
 
 namespace cuminroad {
 
-/// A task's place in the scheduler's tables.
+/// Indexes of a task in the scheduler's tables.
 struct TaskHandle {
   int Job = -1;
+  /// Index of the task in its job.
   int Index = -1;
   bool operator==(const TaskHandle &) const = default;
 };
 
-/// A VM in the scheduler's table.
+/// A VM in the scheduler's tables.
 struct VmState {
   VmSpec Spec;
   bool Claimed = false;
-  /// Takes no new work; stays so when the VM is lost and claimed again.
+  /// Takes no new tasks; still set after the VM is lost and claimed again.
   bool Leaving = false;
   bool Gone = false;
-  /// Capacity that no task holds. Negative in part while a task waits for the
-  /// preempted ones to stop, so that nothing else takes their place.
+  /// Capacity that is allocated to no task. Some parts are negative while a
+  /// task waits for preempted ones to stop, so that nothing else is placed
+  /// there.
   Capacity FreeCapacity;
   std::vector<TaskHandle> Tasks;
-  /// Consecutive failures.
+  /// Refused starts and early failures since the last success.
   int ConsecutiveFailures = 0;
-  /// How often the VM was quarantined since it last worked.
+  /// Quarantines since the last success.
   int ConsecutiveQuarantines = 0;
   TimePoint QuarantinedUntil{};
   bool Quarantined = false;
-  /// One task at a time until one succeeds.
+  /// Takes one task at a time until one succeeds.
   bool Probation = false;
   /// The job that has this VM reserved, or -1, and from when it needs it.
   int ReservedFor = -1;
--- a/packages/scheduling/tests/DifferentialTest.cpp
+++ b/packages/scheduling/tests/DifferentialTest.cpp
@@ -1,7 +1,8 @@
-// Random histories of arrivals, ends, cancellations, VMs that fail, leave and
-// return, contract changes and takeovers, held against the naive version.
+// Compares the scheduler with a reference model over random sequences of
+// events: jobs that arrive, end or are cancelled, VMs that fail, leave or
+// return, changed contracts and takeovers by another owner.
 //
-// A failure prints the seed and the shrunk history; run it again with
+// A failure prints the seed and the shrunk sequence. To run it again, set
 // RC_PARAMS="reproduce=..." as printed.
 
 #include <cstdlib>
@@ -15,7 +16,7 @@
 
 namespace {
 
-/// The same histories every time, unless the environment asks for others.
+/// Makes every run use the same event sequences, unless RC_PARAMS is set.
 struct FixedSeed {
   FixedSeed() {
     setenv("RC_PARAMS", "seed=20261204 max_success=3000 max_size=300", 0);
@@ -39,6 +40,6 @@
                   RC_ASSERT(Model.violations() == std::string());
                 });
   BOOST_CHECK(Passed);
-  // A history in which nothing starts would prove nothing.
+  // Guards against sequences that start too few tasks to check anything.
   BOOST_CHECK_GT(Starts, 10000);
 }
--- a/packages/scheduling/tests/PolicyTest.cpp
+++ b/packages/scheduling/tests/PolicyTest.cpp
@@ -1,5 +1,6 @@
-// What the policies promise beyond the naive version: spread, packing, gangs
-// that start in the end, urgent work, quarantine, sizes that were wrong.
+// Tests the policies that the reference model of DifferentialTest doesn't
+// cover: spreading, packing, reservations, preemption, quarantine, tasks that
+// exceed their declared size, and reports of ends that arrive late.
 
 #include <map>
 #include <set>
@@ -14,7 +15,7 @@
 
 namespace {
 
-/// A scheduler with VMs that start whatever they are told to.
+/// A scheduler with VMs that start every task at once.
 struct SchedulerFixture {
   ManualClock Clock;
   SchedulerOptions Options;
@@ -75,7 +76,7 @@
     run();
   }
 
-  /// Takes a copy: the name may be the one in the entry that is erased.
+  /// \p Task is a copy because it may be the key of the entry that is erased.
   void end(TaskAttempt Task, bool Failed = false) {
     Running.erase(Task);
     TestedScheduler->taskEnded(Task, Failed, false);
@@ -141,8 +142,8 @@
   Fixture.submit("gang", "plain", JobKind::Gang, 4, {16000, 16000, 0},
                  Duration);
   int Rounds = 0;
-  // Half of a VM falls free every 125 ms, and a new job that would take it is
-  // always there.
+  // Half of a VM becomes free every 125 ms, and a new job that would take it is
+  // always waiting.
   for (; Rounds < 400 && Fixture.vmsOf("gang").empty(); ++Rounds) {
     Fixture.Clock.advance(milliseconds(125));
     Fixture.submit(fmt::format("new{}", Rounds), "plain", JobKind::Batch, 1,
@@ -151,7 +152,7 @@
       Fixture.end(Fixture.Running.begin()->first);
   }
   BOOST_CHECK_EQUAL(Fixture.vmsOf("gang").size(), 4);
-  // The wait before a reservation, and a turnover of the VMs with it.
+  // 2000 ms until the reservation, then time for the running tasks to end.
   BOOST_CHECK_LE(Rounds * 125, 2000 + 4 * Duration.count());
 }
 
@@ -207,7 +208,7 @@
   BOOST_CHECK(Fixture.vmsOf("waits").empty());
   Fixture.Clock.advance(Fixture.Options.QuarantineMin + milliseconds(1));
   Fixture.run();
-  // On probation it gets one task, and more once that one succeeds.
+  // On probation the VM gets one task; the next starts once that one succeeds.
   BOOST_CHECK_EQUAL(Fixture.vmsOf("waits").size(), 1);
   Fixture.Clock.advance(milliseconds(100));
   Fixture.end(Fixture.Running.begin()->first);
@@ -230,12 +231,12 @@
   Fixture.TestedScheduler->usageReported(Task, {3000, 1000, 0});
   Fixture.run();
   BOOST_REQUIRE_EQUAL(Fixture.Throttles.size(), 1);
-  // 500 MB more than declared fit; the VM's books show it.
+  // 500 MB more than declared fit and are taken from the VM's free capacity.
   Fixture.TestedScheduler->usageReported(Task, {1000, 1500, 0});
   Fixture.run();
   BOOST_CHECK_EQUAL(Fixture.TestedScheduler->vms()[0].FreeCapacity.MemoryMb,
                     500);
-  // 3000 MB would take what the neighbour was promised.
+  // 3000 MB don't fit beside the memory allocated to the other task.
   Fixture.TestedScheduler->usageReported(Task, {1000, 3000, 0});
   Fixture.run();
   BOOST_REQUIRE_EQUAL(Fixture.Stops.size(), 1);
@@ -257,6 +258,8 @@
   BOOST_CHECK(Fixture.Ended.at("once") == JobOutcome::Unknown);
 }
 
+// The VM's lease lapses, so the task waits to run again; then the VM is claimed
+// and reports that the first attempt had ended.
 BOOST_AUTO_TEST_CASE(lateEndPreventsRestart) {
   SchedulerFixture Fixture;
   Fixture.addVm("vm0", "rack", SmallVmSize);
@@ -273,6 +276,7 @@
   BOOST_CHECK(Fixture.Ended.at("job") == JobOutcome::Done);
 }
 
+// As above, but the second attempt already runs on another VM.
 BOOST_AUTO_TEST_CASE(lateEndStopsSecondAttempt) {
   SchedulerFixture Fixture;
   Fixture.addVm("vm0", "rack", SmallVmSize);
@@ -298,7 +302,7 @@
   Fixture.addVm("vm0", "rack", SmallVmSize);
   Fixture.submit("job", "plain", JobKind::Batch, 1, {1000, 1000, 0},
                  milliseconds(1000));
-  // What a VM reports is input; the index must not be believed.
+  // Reports of VMs are untrusted input: the index may be out of range.
   for (const int Index : {-1, 1, 1 << 28})
     Fixture.TestedScheduler->taskEnded(TaskAttempt{{"job", Index}, 0}, false,
                                        false);
--- a/packages/scheduling/tests/ReferenceModel.cpp
+++ b/packages/scheduling/tests/ReferenceModel.cpp
@@ -13,8 +13,11 @@
 constexpr std::size_t MaxJobs = 24;
 /// Value of an event, modulo 32, that adds a VM.
 constexpr std::uint32_t AddVmEvent = 13;
-/// The first violations tell most.
+/// Length of the report, in bytes, from which no more violations are added:
+/// later ones often follow from the first.
 constexpr std::size_t MaxReportLength = 500;
+/// VMs added at the end: enough for the largest gang even if every other VM is
+/// leaving.
 constexpr int ExtraVmCount = 15;
 
 std::string customerName(std::uint32_t RandomBits) {
@@ -23,8 +26,8 @@
 
 SchedulerOptions makeOptions() {
   SchedulerOptions Options;
-  // Quarantine and reservations keep room free on purpose; the check that no
-  // room is wasted runs without them, their own tests are elsewhere.
+  // Quarantines and reservations leave capacity unused on purpose, which
+  // checkNoStartableTask() would report. PolicyTest covers them.
   Options.FailuresToQuarantine = 1 << 30;
   Options.ReserveAfter = std::chrono::hours(1000);
   Options.RetryDelayMin = milliseconds(0);
@@ -151,7 +154,7 @@
       Scheduler_->checkFeasible(Spec, Limits_[Spec.Customer].MaxHeld);
   if (Checked.has_value() != canEverRun(Spec))
     addViolation(
-        fmt::format("{}: refusal differs from the naive version", Spec.Id));
+        fmt::format("{}: refusal differs from the reference model", Spec.Id));
   if (!Checked)
     return;
   Jobs_[Spec.Id].Spec = Spec;
@@ -200,7 +203,8 @@
 }
 
 void ReferenceModel::claim(ModelVm &Target) {
-  // The claim's fence voids starts that were not answered.
+  // The claim's fencing token makes the VM reject starts that it hasn't
+  // answered.
   std::erase_if(Target.Tasks,
                 [](const auto &Entry) { return !Entry.second.StartAnswered; });
   std::vector<InventoryTask> Inventory;
@@ -224,7 +228,7 @@
     const auto Found = Jobs_.find(Task.Task.Job);
     if (Found != Jobs_.end() && !Found->second.Spec.Restartable)
       Found->second.Lost.insert(Task.Task.Index);
-    // Every other one came to its end before the lease lapsed.
+    // Every other task ended before the lease lapsed.
     if (!Permanently && State.StartAnswered && Task.Attempt % 2 == 0)
       Target.LateEnds.push_back(Task);
   }
@@ -301,7 +305,8 @@
 }
 
 Capacity ReferenceModel::heldCapacity(const std::string &Customer) const {
-  // A VM that is not resolved counts whole, see unknown().
+  // VMs with an unknown inventory count with their whole capacity, see
+  // capacityAwaitingInventory().
   Capacity Sum;
   for (const auto &[Id, Each] : Vms_)
     for (const auto &[Task, State] : Each.Tasks)
@@ -338,11 +343,11 @@
   const std::string Name =
       fmt::format("{}/{}", Start.Task.Task.Job, Start.Task.Task.Index);
   if (!Vm.Claimed || Vm.Leaving || Vm.Gone)
-    addViolation(Name + " started on a VM that takes no work");
+    addViolation(Name + " started on a VM that takes no tasks");
   for (const auto &[Id, Each] : Vms_)
     for (const auto &[Task, State] : Each.Tasks)
       if (Task.Task == Start.Task.Task)
-        addViolation(Name + " runs in two places");
+        addViolation(Name + " started while it already runs");
   if (Job.Ended.contains(Start.Task.Task.Index))
     addViolation(Name + " started after it had ended");
   if (Job.Cancelled)
@@ -351,7 +356,7 @@
       (Job.Lost.contains(Start.Task.Task.Index) ||
        (Job.RecordedStarts.contains(Start.Task.Task.Index) &&
         !Start.RecordBeforeStart)))
-    addViolation(Name + " may not run twice");
+    addViolation(Name + " started again although it may not run twice");
   const Capacity Total = heldCapacity(Job.Spec.Customer) + Start.Size +
                          capacityAwaitingInventory();
   if (!Total.fitsIn(Limits_[Job.Spec.Customer].MaxHeld))
@@ -375,9 +380,9 @@
   const std::size_t EndedCount = Job.Ended.size();
   if (End.Outcome == JobOutcome::Done &&
       static_cast<int>(EndedCount) < Job.Spec.Tasks)
-    addViolation(End.Job + " is called done with tasks missing");
+    addViolation(End.Job + " is reported as done although tasks haven't ended");
   if (End.Outcome == JobOutcome::Cancelled && !Job.Cancelled)
-    addViolation(End.Job + " is called cancelled but was not");
+    addViolation(End.Job + " is reported as cancelled but was not");
   Jobs_.erase(End.Job);
 }
 
@@ -393,18 +398,18 @@
         Running += Task.Task.Job == Id;
     if (Running + static_cast<int>(Job.Ended.size() + Job.Lost.size()) <
         Job.Spec.Tasks)
-      addViolation(Id + ": a part of a gang was started");
+      addViolation(Id + ": only part of the gang was started");
   }
 }
 
 void ReferenceModel::checkCapacities() {
   for (const auto &[Id, Each] : Vms_)
     if (!usedCapacity(Each).fitsIn(Each.Spec.Total))
-      addViolation(Id + " has more work than capacity");
+      addViolation(Id + " has tasks that exceed its capacity");
 }
 
-/// The naive version tries every VM for every waiting job of the depth that
-/// the policy looks at; where one fits, the scheduler has wasted it.
+/// Tries every VM for every waiting job but gangs. Where a task fits, the
+/// scheduler should have started it.
 void ReferenceModel::checkNoStartableTask() {
   if (std::any_of(Vms_.begin(), Vms_.end(), [](const auto &Entry) {
         return Entry.second.InventoryUnknown && !Entry.second.Gone;
@@ -417,7 +422,8 @@
     const Capacity Size = View.Spec.PerTask;
     const Capacity Available =
         Limits_[View.Spec.Customer].MaxHeld - heldCapacity(View.Spec.Customer);
-    // An earmark holds room for an urgent task that is not yet started.
+    // Free capacity is negative where an urgent task waits for preempted tasks
+    // to stop.
     bool PreemptionPending = false;
     for (const VmView &Vm : Scheduler_->vms())
       PreemptionPending =
@@ -427,8 +433,8 @@
     for (const auto &[Id, Each] : Vms_)
       if (Each.Claimed && !Each.Leaving && !Each.Gone &&
           Size.fitsIn(Each.Spec.Total - usedCapacity(Each)))
-        addViolation(
-            fmt::format("{} waits although {} has room", View.Spec.Id, Id));
+        addViolation(fmt::format("{} waits although a task fits on {}",
+                                 View.Spec.Id, Id));
   }
 }
 
@@ -438,7 +444,6 @@
     Terms.MaxHeld = Capacity{1'000'000, 1'000'000, 1'000};
     Scheduler_->setLimit(Customer, Terms);
   }
-  // Enough for the largest gang, should every other VM be leaving.
   for (int Index = 0; Index < ExtraVmCount; ++Index)
     applyEvent(AddVmEvent);
   for (int Round = 0; Round < MaxRounds && !Jobs_.empty(); ++Round) {
--- a/packages/scheduling/tests/ReferenceModel.h
+++ b/packages/scheduling/tests/ReferenceModel.h
@@ -12,26 +12,28 @@
 
 namespace cuminroad {
 
-/// The naive version that the scheduler is held against: it adds up every
-/// running task anew for each question, decides by trying every VM, and knows
-/// no policy. It plays the VMs and the table as well.
+/// A simple model that the scheduler's decisions are checked against. It adds
+/// up all running tasks for each check, tries every VM and has no policies. It
+/// also simulates the VMs and the persisted jobs.
 class ReferenceModel {
 public:
   ReferenceModel();
 
-  /// Plays one event chosen by \p Word, lets the scheduler decide, and checks
-  /// what it decided.
+  /// Applies an event chosen by \p RandomBits, runs the scheduler, and checks
+  /// its commands.
   void applyEvent(std::uint32_t RandomBits);
-  /// Lets everything end; then every job must have ended.
+  /// Lets all tasks start and end, and checks that every job ends.
   void finish();
-  /// \returns the violations seen so far, one a line.
+  /// \returns the violations found so far, one a line.
   const std::string &violations() const { return Violations_; }
+  /// \returns the number of start commands.
   int starts() const { return Starts_; }
 
 private:
   struct RunningTask {
     Capacity Size;
     std::string Customer;
+    /// Whether the VM has answered the start or received a stop.
     bool StartAnswered = false;
     bool Stopping = false;
   };
@@ -40,10 +42,10 @@
     bool Claimed = false;
     bool Leaving = false;
     bool Gone = false;
-    /// A task may run there that the present scheduler does not know of.
+    /// Tasks may run there that the current scheduler doesn't know.
     bool InventoryUnknown = true;
     std::map<TaskAttempt, RunningTask> Tasks;
-    /// Ends that the scheduler hears of when it claims the VM again.
+    /// Ends of tasks that the scheduler learns when it claims the VM again.
     std::vector<TaskAttempt> LateEnds;
   };
   struct ModelJob {
