--- a/packages/scheduling/src/PackingScheduler.h
+++ b/packages/scheduling/src/PackingScheduler.h
@@ -159,6 +159,7 @@
   std::vector<CustomerState> Customers_;
   std::unordered_map<std::string, int> CustomerIndex_;
   std::vector<JobState> Jobs_;
+  /// Indexes of unused entries of Jobs_.
   std::vector<int> FreeJobSlots_;
   std::unordered_map<std::string, int> JobIndex_;
   std::map<TaskAttempt, UnknownTask> UnknownTasks_;
