--- a/packages/fleet/include/cuminroad/fleet/PeerService.h
+++ b/packages/fleet/include/cuminroad/fleet/PeerService.h
@@ -31,7 +31,7 @@
 /// RelayedStore. All arguments must outlive it.
 /// \param Store without relay, so that no call is passed on twice.
 HttpHandler makePeerHandler(const OwnedPools &Pools, PlacementAdvisor &Advisor,
-                            RowStore &Store, const Clock &Time);
+                            RowStore &Store, const Clock &MonotonicClock);
 
 } // namespace cuminroad
 
--- a/packages/fleet/include/cuminroad/fleet/RelayedStore.h
+++ b/packages/fleet/include/cuminroad/fleet/RelayedStore.h
@@ -30,37 +30,37 @@
   /// Addresses of the peers to try, the best first.
   using PeerList = std::function<std::vector<std::string>()>;
 
-  RelayedStore(RowStore &Direct, HttpClient &Client, Loop &Home,
-               const Clock &Time, EventLog &Events, FleetMetrics &Metrics,
-               PeerList Peers);
+  RelayedStore(RowStore &Direct, HttpClient &Client, Loop &ControlLoop,
+               const Clock &MonotonicClock, EventLog &Events,
+               FleetMetrics &Metrics, PeerList Peers);
 
   void commit(RowTransaction Change, milliseconds Timeout,
               CommitDone Done) override;
   void read(RowRange Range, milliseconds Timeout, PageDone Done) override;
-  void changes(RowChanges Wanted, PageDone Done) override;
+  void changes(RowChanges Request, PageDone Done) override;
   milliseconds storeTime() const override;
   TimePoint lastContact() const override;
 
 private:
   /// What both kinds of calls need to be passed on.
-  struct Relayed {
+  struct RelayedCall {
     std::string Body;
     milliseconds Timeout{0};
     std::vector<std::string> Peers;
   };
 
-  bool preferRelay();
+  bool shouldRelayFirst();
   /// Notes how a direct call ended; \returns whether to try a peer.
-  bool noteDirect(bool Failed);
-  void relayPage(Relayed Call, PageDone Done);
-  void relayCommit(Relayed Call, CommitDone Done);
-  void send(const Relayed &Call, HttpCallback Done);
+  bool recordDirectOutcome(bool Failed);
+  void relayPage(RelayedCall Call, PageDone Done);
+  void relayCommit(RelayedCall Call, CommitDone Done);
+  void send(const RelayedCall &Call, HttpCallback Done);
   /// \returns \p Done, which first counts the call.
   template <typename T>
-  std::function<void(Result<T>)> counted(std::string_view Kind,
-                                         std::function<void(Result<T>)> Done);
-  void noteRelayed(milliseconds StoreTime);
-  std::vector<std::string> peersToTry();
+  std::function<void(Result<T>)>
+  withMetrics(std::string_view Kind, std::function<void(Result<T>)> Done);
+  void recordRelayedContact(milliseconds StoreTime);
+  std::vector<std::string> selectPeers();
   /// Asks peers whether they reach the store, for as long as this daemon is
   /// turned away.
   void probePeers();
@@ -68,8 +68,8 @@
 
   RowStore &Direct_;
   HttpClient &Client_;
-  Loop &Home_;
-  const Clock &Time_;
+  Loop &ControlLoop_;
+  const Clock &MonotonicClock_;
   EventLog &Events_;
   FleetMetrics &Metrics_;
   PeerList Peers_;
@@ -77,9 +77,9 @@
   std::size_t NextProbe_ = 0;
   bool Probing_ = false;
   /// Until when a peer counts as one that reaches the store.
-  std::map<std::string, TimePoint> GoodUntil_;
+  std::map<std::string, TimePoint> ReachableUntil_;
   int DirectFailures_ = 0;
-  TimePoint NextDirect_{};
+  TimePoint NextDirectCall_{};
   TimePoint RelayedContact_{};
   milliseconds RelayedStoreTime_{0};
 };
--- a/packages/fleet/src/PeerCalls.cpp
+++ b/packages/fleet/src/PeerCalls.cpp
@@ -22,27 +22,28 @@
 }
 
 /// A peer's answer with status 200, or why there is none.
-Result<std::string> bodyOf(HttpResult Answer) {
-  if (!Answer)
-    return tl::unexpected(Answer.error());
-  if (Answer->Status == StatusNotOwner)
+Result<std::string> responseBody(HttpResult Response) {
+  if (!Response)
+    return tl::unexpected(Response.error());
+  if (Response->Status == StatusNotOwner)
     return failure(ErrorCode::NoOwner);
-  if (Answer->Status != 200)
-    return failure(ErrorCode::AnswerUnreadable,
-                   fmt::format("status {}", Answer->Status));
-  return std::move(Answer->Body);
+  if (Response->Status != 200)
+    return failure(
+        ErrorCode::AnswerUnreadable,
+        fmt::format("peer answered with status {}", Response->Status));
+  return std::move(Response->Body);
 }
 
-Result<int> numberOf(HttpResult Answer) {
-  const auto Body = bodyOf(std::move(Answer));
+Result<int> responseNumber(HttpResult Response) {
+  const auto Body = responseBody(std::move(Response));
   if (!Body)
     return tl::unexpected(Body.error());
-  int Out = 0;
-  const auto [End, Fault] =
-      std::from_chars(Body->data(), Body->data() + Body->size(), Out);
-  if (Fault != std::errc{} || End != Body->data() + Body->size())
+  int Number = 0;
+  const auto [End, ParseError] =
+      std::from_chars(Body->data(), Body->data() + Body->size(), Number);
+  if (ParseError != std::errc{} || End != Body->data() + Body->size())
     return failure(ErrorCode::AnswerUnreadable, *Body);
-  return Out;
+  return Number;
 }
 
 } // namespace
@@ -53,8 +54,8 @@
   HttpCall Call = makeCall(
       Address, fmt::format("{}?service={}&job={}", StagePath, Service, Job),
       Timeout);
-  Client_.send(std::move(Call), [Done = std::move(Done)](HttpResult Answer) {
-    const Result<int> Number = numberOf(std::move(Answer));
+  Client_.send(std::move(Call), [Done = std::move(Done)](HttpResult Response) {
+    const Result<int> Number = responseNumber(std::move(Response));
     if (!Number)
       return Done(tl::unexpected(Number.error()));
     if (*Number < 0)
@@ -70,8 +71,8 @@
       Address,
       fmt::format("{}?service={}&queue={}", PendingPath, Service, Queue),
       Timeout);
-  Client_.send(std::move(Call), [Done = std::move(Done)](HttpResult Answer) {
-    Done(numberOf(std::move(Answer)));
+  Client_.send(std::move(Call), [Done = std::move(Done)](HttpResult Response) {
+    Done(responseNumber(std::move(Response)));
   });
 }
 
@@ -83,8 +84,8 @@
   Call.Headers = {{"Content-Type", "application/msgpack"}};
   Call.Body = encode(AdviseRequest{
       Step, std::vector<std::string>(Vms.begin(), Vms.end()), Timeout});
-  Client_.send(std::move(Call), [Done = std::move(Done)](HttpResult Answer) {
-    const auto Body = bodyOf(std::move(Answer));
+  Client_.send(std::move(Call), [Done = std::move(Done)](HttpResult Response) {
+    const auto Body = responseBody(std::move(Response));
     if (!Body)
       return Done(tl::unexpected(Body.error()));
     Done(decodeTickets(*Body));
--- a/packages/fleet/src/RelayedStore.cpp
+++ b/packages/fleet/src/RelayedStore.cpp
@@ -11,76 +11,79 @@
 namespace {
 
 /// Failures in a row after which calls go to peers first.
-constexpr int FailuresToRelay = 2;
+constexpr int FailuresBeforeRelay = 2;
 /// While calls go to peers, one is tried directly this often.
-constexpr milliseconds DirectRetry{700};
+constexpr milliseconds DirectRetryInterval{700};
 /// Peers tried for one call.
-constexpr std::size_t PeersTried = 2;
+constexpr std::size_t MaxPeersPerCall = 2;
 constexpr milliseconds ConnectTimeout{250};
 /// Longest wait for a peer; it may be cut off itself.
 constexpr milliseconds RelayTimeoutMax{700};
 /// How often some peers are asked whether they reach the store, how many of
 /// them, and how long the answer may take.
 constexpr milliseconds ProbeInterval{200};
-constexpr std::size_t ProbedPeers = 4;
+constexpr std::size_t PeersPerProbeRound = 4;
 constexpr milliseconds ProbeTimeout{250};
 /// How long a peer's word that it reaches the store is believed.
-constexpr milliseconds GoodFor{700};
+constexpr milliseconds ProbeResultLifetime{700};
 constexpr int StatusOk = 200;
 /// Time for the peer's own call beyond its timeout.
-constexpr milliseconds RelayMargin{100};
+constexpr milliseconds RelayTimeoutMargin{100};
 /// Time for the store's answer beyond what it was asked to wait.
-constexpr milliseconds AnswerTime{500};
+constexpr milliseconds ResponseAllowance{500};
 /// Longest wait for a change through a peer. The peer may end meanwhile, and a
 /// change of contracts must be in force within seconds.
 constexpr milliseconds RelayedWaitMax{400};
 
-bool turnedAway(const Error &Fault) {
-  return Fault.Code == ErrorCode::PlatformUnavailable;
+bool isUnavailable(const Error &Failure) {
+  return Failure.Code == ErrorCode::PlatformUnavailable;
 }
 
 } // namespace
 
-RelayedStore::RelayedStore(RowStore &Direct, HttpClient &Client, Loop &Home,
-                           const Clock &Time, EventLog &Events,
-                           FleetMetrics &Metrics, PeerList Peers)
-    : Direct_(Direct), Client_(Client), Home_(Home), Time_(Time),
-      Events_(Events), Metrics_(Metrics), Peers_(std::move(Peers)) {}
+RelayedStore::RelayedStore(RowStore &Direct, HttpClient &Client,
+                           Loop &ControlLoop, const Clock &MonotonicClock,
+                           EventLog &Events, FleetMetrics &Metrics,
+                           PeerList Peers)
+    : Direct_(Direct), Client_(Client), ControlLoop_(ControlLoop),
+      MonotonicClock_(MonotonicClock), Events_(Events), Metrics_(Metrics),
+      Peers_(std::move(Peers)) {}
 
 template <typename T>
 std::function<void(Result<T>)>
-RelayedStore::counted(std::string_view Kind,
-                      std::function<void(Result<T>)> Done) {
+RelayedStore::withMetrics(std::string_view Kind,
+                          std::function<void(Result<T>)> Done) {
   return [this, Kind, Done = std::move(Done),
-          Begin = Time_.now()](Result<T> Outcome) {
+          Begin = MonotonicClock_.now()](Result<T> Outcome) {
     Metrics_.storeCalled(
         Kind, Outcome ? "answered" : errorInfo(Outcome.error().Code).Name,
-        std::chrono::duration_cast<milliseconds>(Time_.now() - Begin));
+        std::chrono::duration_cast<milliseconds>(MonotonicClock_.now() -
+                                                 Begin));
     Done(std::move(Outcome));
   };
 }
 
-bool RelayedStore::preferRelay() {
-  if (DirectFailures_ < FailuresToRelay)
+bool RelayedStore::shouldRelayFirst() {
+  if (DirectFailures_ < FailuresBeforeRelay)
     return false;
-  const TimePoint Now = Time_.now();
-  if (Now < NextDirect_)
+  const TimePoint Now = MonotonicClock_.now();
+  if (Now < NextDirectCall_)
     return true;
-  NextDirect_ = Now + DirectRetry;
+  NextDirectCall_ = Now + DirectRetryInterval;
   return false;
 }
 
-bool RelayedStore::noteDirect(bool Failed) {
+bool RelayedStore::recordDirectOutcome(bool Failed) {
   if (!Failed) {
-    if (DirectFailures_ >= FailuresToRelay)
+    if (DirectFailures_ >= FailuresBeforeRelay)
       Events_.record(EventId::StoreRelayEnded, "store");
     DirectFailures_ = 0;
     return false;
   }
   if (!Probing_)
     probePeers();
-  if (++DirectFailures_ == FailuresToRelay) {
-    NextDirect_ = Time_.now() + DirectRetry;
+  if (++DirectFailures_ == FailuresBeforeRelay) {
+    NextDirectCall_ = MonotonicClock_.now() + DirectRetryInterval;
     Events_.record(EventId::StoreRelayed, "store");
   }
   return true;
@@ -91,9 +94,10 @@
   Probing_ = !Peers.empty();
   if (!Probing_)
     return;
-  for (std::size_t Each = 0; Each < std::min(ProbedPeers, Peers.size()); ++Each)
+  for (std::size_t Count = 0;
+       Count < std::min(PeersPerProbeRound, Peers.size()); ++Count)
     probe(Peers[NextProbe_++ % Peers.size()]);
-  Home_.after(ProbeInterval, [this] {
+  ControlLoop_.after(ProbeInterval, [this] {
     Probing_ = false;
     if (DirectFailures_ > 0)
       probePeers();
@@ -102,34 +106,35 @@
 
 void RelayedStore::probe(const std::string &Peer) {
   HttpCall Call;
-  Call.Url = fmt::format("http://{}{}", Peer, ReachPath);
+  Call.Url = fmt::format("http://{}{}", Peer, StoreReachablePath);
   Call.ConnectTimeout = ProbeTimeout;
   Call.Timeout = ProbeTimeout;
-  Client_.send(std::move(Call), [this, Peer](const HttpResult &Answer) {
-    if (Answer && Answer->Status == StatusOk)
-      GoodUntil_[Peer] = Time_.now() + GoodFor;
+  Client_.send(std::move(Call), [this, Peer](const HttpResult &Response) {
+    if (Response && Response->Status == StatusOk)
+      ReachableUntil_[Peer] = MonotonicClock_.now() + ProbeResultLifetime;
     else
-      GoodUntil_.erase(Peer);
+      ReachableUntil_.erase(Peer);
   });
 }
 
-std::vector<std::string> RelayedStore::peersToTry() {
-  const TimePoint Now = Time_.now();
-  std::vector<std::string> Out;
-  for (const auto &[Peer, Until] : GoodUntil_)
+std::vector<std::string> RelayedStore::selectPeers() {
+  const TimePoint Now = MonotonicClock_.now();
+  std::vector<std::string> Peers;
+  for (const auto &[Peer, Until] : ReachableUntil_)
     if (Until > Now)
-      Out.push_back(Peer);
-  if (Out.empty())
-    return Out;
-  std::rotate(Out.begin(),
-              Out.begin() + static_cast<std::ptrdiff_t>(NextPeer_ % Out.size()),
-              Out.end());
-  Out.resize(std::min(Out.size(), PeersTried));
-  return Out;
+      Peers.push_back(Peer);
+  if (Peers.empty())
+    return Peers;
+  std::rotate(Peers.begin(),
+              Peers.begin() +
+                  static_cast<std::ptrdiff_t>(NextPeer_ % Peers.size()),
+              Peers.end());
+  Peers.resize(std::min(Peers.size(), MaxPeersPerCall));
+  return Peers;
 }
 
-void RelayedStore::noteRelayed(milliseconds StoreTime) {
-  RelayedContact_ = Time_.now();
+void RelayedStore::recordRelayedContact(milliseconds StoreTime) {
+  RelayedContact_ = MonotonicClock_.now();
   RelayedStoreTime_ = StoreTime;
 }
 
@@ -137,128 +142,134 @@
   if (RelayedContact_ <= Direct_.lastContact())
     return Direct_.storeTime();
   return RelayedStoreTime_ + std::chrono::duration_cast<milliseconds>(
-                                 Time_.now() - RelayedContact_);
+                                 MonotonicClock_.now() - RelayedContact_);
 }
 
 TimePoint RelayedStore::lastContact() const {
   return std::max(Direct_.lastContact(), RelayedContact_);
 }
 
-void RelayedStore::send(const Relayed &Call, HttpCallback Done) {
-  HttpCall Out;
-  Out.Method = "POST";
-  Out.Url = fmt::format("http://{}{}", Call.Peers.front(), StorePath);
-  Out.Headers = {{"Content-Type", "application/msgpack"}};
-  Out.Body = Call.Body;
-  Out.ConnectTimeout = std::min(ConnectTimeout, Call.Timeout);
-  Out.Timeout = Call.Timeout + RelayMargin;
-  Client_.send(std::move(Out), [this, Peer = Call.Peers.front(),
-                                Done = std::move(Done)](HttpResult Answer) {
-    if (!Answer)
-      GoodUntil_.erase(Peer);
-    Done(std::move(Answer));
+void RelayedStore::send(const RelayedCall &Call, HttpCallback Done) {
+  HttpCall Http;
+  Http.Method = "POST";
+  Http.Url = fmt::format("http://{}{}", Call.Peers.front(), StoreCallPath);
+  Http.Headers = {{"Content-Type", "application/msgpack"}};
+  Http.Body = Call.Body;
+  Http.ConnectTimeout = std::min(ConnectTimeout, Call.Timeout);
+  Http.Timeout = Call.Timeout + RelayTimeoutMargin;
+  Client_.send(std::move(Http), [this, Peer = Call.Peers.front(),
+                                 Done = std::move(Done)](HttpResult Response) {
+    if (!Response)
+      ReachableUntil_.erase(Peer);
+    Done(std::move(Response));
   });
 }
 
-void RelayedStore::relayCommit(Relayed Call, CommitDone Done) {
+void RelayedStore::relayCommit(RelayedCall Call, CommitDone Done) {
   if (Call.Peers.empty())
-    return Done(failure(ErrorCode::PlatformUnavailable, "no peer"));
-  send(Call,
-       [this, Call, Done = std::move(Done)](const HttpResult &Answer) mutable {
-         if (!Answer && Answer.error().Code != ErrorCode::ConnectFailed)
-           return Done(failure(ErrorCode::WriteOutcomeUnknown, "relay"));
-         auto Decoded = Answer && Answer->Status == StatusOk
-                            ? decodeCommitAnswer(Answer->Body)
-                            : failure(ErrorCode::PlatformUnavailable, "relay");
-         const bool Certain =
-             !Decoded ? Decoded.error().Code == ErrorCode::PlatformUnavailable
-                      : !Decoded->Value && turnedAway(Decoded->Value.error());
-         if (Certain) {
-           ++NextPeer_;
-           Call.Peers.erase(Call.Peers.begin());
-           return relayCommit(std::move(Call), std::move(Done));
-         }
-         if (!Decoded)
-           return Done(failure(ErrorCode::WriteOutcomeUnknown, "relay"));
-         if (Decoded->Value)
-           noteRelayed(Decoded->StoreTime);
-         Done(std::move(Decoded->Value));
-       });
+    return Done(
+        failure(ErrorCode::PlatformUnavailable, "no peer reaches the store"));
+  send(Call, [this, Call,
+              Done = std::move(Done)](const HttpResult &Response) mutable {
+    if (!Response && Response.error().Code != ErrorCode::ConnectFailed)
+      return Done(failure(ErrorCode::WriteOutcomeUnknown, "relay"));
+    auto Decoded = Response && Response->Status == StatusOk
+                       ? decodeCommitResponse(Response->Body)
+                       : failure(ErrorCode::PlatformUnavailable, "relay");
+    const bool NotApplied =
+        !Decoded ? Decoded.error().Code == ErrorCode::PlatformUnavailable
+                 : !Decoded->Value && isUnavailable(Decoded->Value.error());
+    if (NotApplied) {
+      ++NextPeer_;
+      Call.Peers.erase(Call.Peers.begin());
+      return relayCommit(std::move(Call), std::move(Done));
+    }
+    if (!Decoded)
+      return Done(failure(ErrorCode::WriteOutcomeUnknown, "relay"));
+    if (Decoded->Value)
+      recordRelayedContact(Decoded->StoreTime);
+    Done(std::move(Decoded->Value));
+  });
 }
 
-void RelayedStore::relayPage(Relayed Call, PageDone Done) {
+void RelayedStore::relayPage(RelayedCall Call, PageDone Done) {
   if (Call.Peers.empty())
-    return Done(failure(ErrorCode::PlatformUnavailable, "no peer"));
+    return Done(
+        failure(ErrorCode::PlatformUnavailable, "no peer reaches the store"));
   send(Call, [this, Call,
-              Done = std::move(Done)](const HttpResult &Answer) mutable {
-    auto Decoded = Answer && Answer->Status == StatusOk
-                       ? decodePageAnswer(Answer->Body)
+              Done = std::move(Done)](const HttpResult &Response) mutable {
+    auto Decoded = Response && Response->Status == StatusOk
+                       ? decodePageResponse(Response->Body)
                        : failure(ErrorCode::PlatformUnavailable, "relay");
-    if (!Decoded || (!Decoded->Value && turnedAway(Decoded->Value.error()))) {
+    if (!Decoded ||
+        (!Decoded->Value && isUnavailable(Decoded->Value.error()))) {
       ++NextPeer_;
       Call.Peers.erase(Call.Peers.begin());
       return relayPage(std::move(Call), std::move(Done));
     }
     if (Decoded->Value)
-      noteRelayed(Decoded->StoreTime);
+      recordRelayedContact(Decoded->StoreTime);
     Done(std::move(Decoded->Value));
   });
 }
 
 void RelayedStore::commit(RowTransaction Change, milliseconds Timeout,
                           CommitDone Done) {
-  Done = counted("commit", std::move(Done));
-  const auto Relay = [this, Timeout](const RowTransaction &What) {
-    const milliseconds Each = std::min(Timeout, RelayTimeoutMax);
-    return Relayed{encode(StoreCall(CommitCall{What, Each})), Each,
-                   peersToTry()};
+  Done = withMetrics("commit", std::move(Done));
+  const auto MakeRelayedCall = [this,
+                                Timeout](const RowTransaction &Transaction) {
+    const milliseconds RelayTimeout = std::min(Timeout, RelayTimeoutMax);
+    return RelayedCall{encode(StoreCall(CommitCall{Transaction, RelayTimeout})),
+                       RelayTimeout, selectPeers()};
   };
-  if (preferRelay())
-    return relayCommit(Relay(Change), std::move(Done));
+  if (shouldRelayFirst())
+    return relayCommit(MakeRelayedCall(Change), std::move(Done));
   Direct_.commit(Change, Timeout,
-                 [this, Change, Relay,
+                 [this, Change, MakeRelayedCall,
                   Done = std::move(Done)](Result<RowCommit> Outcome) mutable {
                    const bool Failed = !Outcome;
-                   if (!noteDirect(Failed) || !turnedAway(Outcome.error()))
+                   if (!recordDirectOutcome(Failed) ||
+                       !isUnavailable(Outcome.error()))
                      return Done(std::move(Outcome));
-                   relayCommit(Relay(Change), std::move(Done));
+                   relayCommit(MakeRelayedCall(Change), std::move(Done));
                  });
 }
 
 void RelayedStore::read(RowRange Range, milliseconds Timeout, PageDone Done) {
-  Done = counted("read", std::move(Done));
-  const auto Relay = [this, Range, Timeout] {
-    const milliseconds Each = std::min(Timeout, RelayTimeoutMax);
-    return Relayed{encode(StoreCall(ReadCall{Range, Each})), Each,
-                   peersToTry()};
+  Done = withMetrics("read", std::move(Done));
+  const auto MakeRelayedCall = [this, Range, Timeout] {
+    const milliseconds RelayTimeout = std::min(Timeout, RelayTimeoutMax);
+    return RelayedCall{encode(StoreCall(ReadCall{Range, RelayTimeout})),
+                       RelayTimeout, selectPeers()};
   };
-  if (preferRelay())
-    return relayPage(Relay(), std::move(Done));
-  Direct_.read(
-      Range, Timeout,
-      [this, Relay, Done = std::move(Done)](Result<RowPage> Page) mutable {
-        if (!noteDirect(!Page))
-          return Done(std::move(Page));
-        relayPage(Relay(), std::move(Done));
-      });
+  if (shouldRelayFirst())
+    return relayPage(MakeRelayedCall(), std::move(Done));
+  Direct_.read(Range, Timeout,
+               [this, MakeRelayedCall,
+                Done = std::move(Done)](Result<RowPage> Page) mutable {
+                 if (!recordDirectOutcome(!Page))
+                   return Done(std::move(Page));
+                 relayPage(MakeRelayedCall(), std::move(Done));
+               });
 }
 
-void RelayedStore::changes(RowChanges Wanted, PageDone Done) {
-  Done = counted("changes", std::move(Done));
-  const auto Relay = [this, Wanted] {
-    RowChanges Short = Wanted;
-    Short.Wait = std::min(Wanted.Wait, RelayedWaitMax);
-    return Relayed{encode(StoreCall(ChangesCall{Short})),
-                   Short.Wait + AnswerTime, peersToTry()};
+void RelayedStore::changes(RowChanges Request, PageDone Done) {
+  Done = withMetrics("changes", std::move(Done));
+  const auto MakeRelayedCall = [this, Request] {
+    RowChanges Relayed = Request;
+    Relayed.Wait = std::min(Request.Wait, RelayedWaitMax);
+    return RelayedCall{encode(StoreCall(ChangesCall{Relayed})),
+                       Relayed.Wait + ResponseAllowance, selectPeers()};
   };
-  if (preferRelay())
-    return relayPage(Relay(), std::move(Done));
-  Direct_.changes(Wanted, [this, Relay, Done = std::move(Done)](
-                              Result<RowPage> Page) mutable {
-    const bool Gone = !Page && Page.error().Code == ErrorCode::HistoryGone;
-    if (Gone || !noteDirect(!Page))
+  if (shouldRelayFirst())
+    return relayPage(MakeRelayedCall(), std::move(Done));
+  Direct_.changes(Request, [this, MakeRelayedCall, Done = std::move(Done)](
+                               Result<RowPage> Page) mutable {
+    const bool HistoryGone =
+        !Page && Page.error().Code == ErrorCode::HistoryGone;
+    if (HistoryGone || !recordDirectOutcome(!Page))
       return Done(std::move(Page));
-    relayPage(Relay(), std::move(Done));
+    relayPage(MakeRelayedCall(), std::move(Done));
   });
 }
 
--- a/packages/fleet/src/StoreMessages.cpp
+++ b/packages/fleet/src/StoreMessages.cpp
@@ -12,7 +12,7 @@
   return json::binary(std::vector<std::uint8_t>(Bytes.begin(), Bytes.end()));
 }
 
-std::string bytesOf(const json &Input) {
+std::string bytesFromJson(const json &Input) {
   const auto &Bytes = Input.get_binary();
   return std::string(Bytes.begin(), Bytes.end());
 }
@@ -35,12 +35,12 @@
 }
 
 std::vector<StoredRow> rowsFromJson(const json &Input) {
-  std::vector<StoredRow> Out;
+  std::vector<StoredRow> Rows;
   for (const json &Row : Input)
-    Out.push_back(StoredRow{nameFromJson(Row.at(0)), bytesOf(Row.at(1)),
-                            Row.at(2).get<std::int64_t>(),
-                            Row.at(3).get<bool>()});
-  return Out;
+    Rows.push_back(StoredRow{nameFromJson(Row.at(0)), bytesFromJson(Row.at(1)),
+                             Row.at(2).get<std::int64_t>(),
+                             Row.at(3).get<bool>()});
+  return Rows;
 }
 
 json toJson(const CommitCall &Call) {
@@ -72,56 +72,57 @@
 
 json toJson(const ChangesCall &Call) {
   return {{"call", "changes"},
-          {"table", Call.Wanted.Table},
-          {"after", Call.Wanted.After},
-          {"wait_ms", Call.Wanted.Wait.count()}};
+          {"table", Call.Request.Table},
+          {"after", Call.Request.After},
+          {"wait_ms", Call.Request.Wait.count()}};
 }
 
-milliseconds millisAt(const json &Input, const char *Name) {
+milliseconds millisecondsAt(const json &Input, const char *Name) {
   return milliseconds(Input.at(Name).get<std::int64_t>());
 }
 
-CommitCall commitFromJson(const json &Input) {
-  CommitCall Out;
-  for (const json &Each : Input.at("checks"))
-    Out.Change.Checks.push_back(
-        RowCheck{nameFromJson(Each.at(0)), Each.at(1).get<std::int64_t>()});
-  for (const json &Each : Input.at("puts"))
-    Out.Change.Puts.push_back(
-        RowPut{nameFromJson(Each.at(0)), bytesOf(Each.at(1))});
-  for (const json &Each : Input.at("removals"))
-    Out.Change.Removals.push_back(nameFromJson(Each));
-  Out.Timeout = millisAt(Input, "timeout_ms");
-  return Out;
+CommitCall commitCallFromJson(const json &Input) {
+  CommitCall Call;
+  for (const json &Entry : Input.at("checks"))
+    Call.Change.Checks.push_back(
+        RowCheck{nameFromJson(Entry.at(0)), Entry.at(1).get<std::int64_t>()});
+  for (const json &Entry : Input.at("puts"))
+    Call.Change.Puts.push_back(
+        RowPut{nameFromJson(Entry.at(0)), bytesFromJson(Entry.at(1))});
+  for (const json &Entry : Input.at("removals"))
+    Call.Change.Removals.push_back(nameFromJson(Entry));
+  Call.Timeout = millisecondsAt(Input, "timeout_ms");
+  return Call;
 }
 
-ReadCall readFromJson(const json &Input) {
-  ReadCall Out;
-  Out.Range = RowRange{Input.at("table").get<std::string>(),
-                       Input.at("partition").get<std::string>(),
-                       Input.at("from").get<std::string>(),
-                       Input.at("until").get<std::string>(),
-                       Input.at("limit").get<int>()};
-  Out.Timeout = millisAt(Input, "timeout_ms");
-  return Out;
+ReadCall readCallFromJson(const json &Input) {
+  ReadCall Call;
+  Call.Range = RowRange{Input.at("table").get<std::string>(),
+                        Input.at("partition").get<std::string>(),
+                        Input.at("from").get<std::string>(),
+                        Input.at("until").get<std::string>(),
+                        Input.at("limit").get<int>()};
+  Call.Timeout = millisecondsAt(Input, "timeout_ms");
+  return Call;
 }
 
 template <typename T>
-json answerToJson(const StoreAnswer<T> &Answer, json (*Encode)(const T &)) {
-  json Out{{"time_ms", Answer.StoreTime.count()}};
-  if (Answer.Value)
-    Out["value"] = Encode(*Answer.Value);
+json responseToJson(const StoreResponse<T> &Response,
+                    json (*Encode)(const T &)) {
+  json Out{{"time_ms", Response.StoreTime.count()}};
+  if (Response.Value)
+    Out["value"] = Encode(*Response.Value);
   else
-    Out["error"] = json::array({static_cast<int>(Answer.Value.error().Code),
-                                Answer.Value.error().Detail});
+    Out["error"] = json::array({static_cast<int>(Response.Value.error().Code),
+                                Response.Value.error().Detail});
   return Out;
 }
 
 template <typename T>
-Result<StoreAnswer<T>> decodeAnswer(std::string_view Bytes,
-                                    T (*Decode)(const json &)) {
-  return unpackMessage<StoreAnswer<T>>(Bytes, [Decode](const json &Input) {
-    StoreAnswer<T> Out{T{}, millisAt(Input, "time_ms")};
+Result<StoreResponse<T>> decodeResponse(std::string_view Bytes,
+                                        T (*Decode)(const json &)) {
+  return unpackMessage<StoreResponse<T>>(Bytes, [Decode](const json &Input) {
+    StoreResponse<T> Out{T{}, millisecondsAt(Input, "time_ms")};
     if (Input.contains("error"))
       Out.Value =
           failure(static_cast<ErrorCode>(Input.at("error").at(0).get<int>()),
@@ -132,11 +133,11 @@
   });
 }
 
-json commitToJson(const RowCommit &Commit) {
+json commitResultToJson(const RowCommit &Commit) {
   return json::array({Commit.Version, rowsToJson(Commit.Found)});
 }
 
-RowCommit commitValue(const json &Input) {
+RowCommit commitResultFromJson(const json &Input) {
   return RowCommit{Input.at(0).get<std::int64_t>(), rowsFromJson(Input.at(1))};
 }
 
@@ -144,7 +145,7 @@
   return json::array({rowsToJson(Page.Rows), Page.HasMore, Page.Version});
 }
 
-RowPage pageValue(const json &Input) {
+RowPage pageFromJson(const json &Input) {
   return RowPage{rowsFromJson(Input.at(0)), Input.at(1).get<bool>(),
                  Input.at(2).get<std::int64_t>()};
 }
@@ -161,32 +162,32 @@
       Bytes, [](const json &Input) -> Result<StoreCall> {
         const std::string Kind = Input.at("call").get<std::string>();
         if (Kind == "commit")
-          return StoreCall(commitFromJson(Input));
+          return StoreCall(commitCallFromJson(Input));
         if (Kind == "read")
-          return StoreCall(readFromJson(Input));
+          return StoreCall(readCallFromJson(Input));
         if (Kind == "changes")
           return StoreCall(
               ChangesCall{RowChanges{Input.at("table").get<std::string>(),
                                      Input.at("after").get<std::int64_t>(),
-                                     millisAt(Input, "wait_ms")}});
-        return failure(ErrorCode::MalformedInput, "call " + Kind);
+                                     millisecondsAt(Input, "wait_ms")}});
+        return failure(ErrorCode::MalformedInput, "unknown call " + Kind);
       });
 }
 
-std::string encode(const StoreAnswer<RowCommit> &Answer) {
-  return packMessage(answerToJson(Answer, commitToJson));
+std::string encode(const StoreResponse<RowCommit> &Response) {
+  return packMessage(responseToJson(Response, commitResultToJson));
 }
 
-std::string encode(const StoreAnswer<RowPage> &Answer) {
-  return packMessage(answerToJson(Answer, pageToJson));
+std::string encode(const StoreResponse<RowPage> &Response) {
+  return packMessage(responseToJson(Response, pageToJson));
 }
 
-Result<StoreAnswer<RowCommit>> decodeCommitAnswer(std::string_view Bytes) {
-  return decodeAnswer<RowCommit>(Bytes, commitValue);
+Result<StoreResponse<RowCommit>> decodeCommitResponse(std::string_view Bytes) {
+  return decodeResponse<RowCommit>(Bytes, commitResultFromJson);
 }
 
-Result<StoreAnswer<RowPage>> decodePageAnswer(std::string_view Bytes) {
-  return decodeAnswer<RowPage>(Bytes, pageValue);
+Result<StoreResponse<RowPage>> decodePageResponse(std::string_view Bytes) {
+  return decodeResponse<RowPage>(Bytes, pageFromJson);
 }
 
 } // namespace cuminroad
--- a/packages/fleet/src/StoreMessages.h
+++ b/packages/fleet/src/StoreMessages.h
@@ -12,9 +12,9 @@
 
 namespace cuminroad {
 
-inline constexpr std::string_view StorePath = "/peer/store";
+inline constexpr std::string_view StoreCallPath = "/peer/store";
 /// Answered with 200 by a daemon that has lately reached the store.
-inline constexpr std::string_view ReachPath = "/peer/reach";
+inline constexpr std::string_view StoreReachablePath = "/peer/reach";
 
 struct CommitCall {
   RowTransaction Change;
@@ -25,22 +25,22 @@
   milliseconds Timeout{0};
 };
 struct ChangesCall {
-  RowChanges Wanted;
+  RowChanges Request;
 };
 using StoreCall = std::variant<CommitCall, ReadCall, ChangesCall>;
 
 /// An answer with the store's time as the peer knows it.
-template <typename T> struct StoreAnswer {
+template <typename T> struct StoreResponse {
   Result<T> Value;
   milliseconds StoreTime{0};
 };
 
 std::string encode(const StoreCall &Call);
 Result<StoreCall> decodeStoreCall(std::string_view Bytes);
-std::string encode(const StoreAnswer<RowCommit> &Answer);
-std::string encode(const StoreAnswer<RowPage> &Answer);
-Result<StoreAnswer<RowCommit>> decodeCommitAnswer(std::string_view Bytes);
-Result<StoreAnswer<RowPage>> decodePageAnswer(std::string_view Bytes);
+std::string encode(const StoreResponse<RowCommit> &Response);
+std::string encode(const StoreResponse<RowPage> &Response);
+Result<StoreResponse<RowCommit>> decodeCommitResponse(std::string_view Bytes);
+Result<StoreResponse<RowPage>> decodePageResponse(std::string_view Bytes);
 
 } // namespace cuminroad
 
--- a/packages/fleet/tests/RelayedStoreTest.cpp
+++ b/packages/fleet/tests/RelayedStoreTest.cpp
@@ -21,157 +21,168 @@
 };
 
 /// Hands calls to the peer's handler, or fails them.
-class PeerHttp final : public HttpClient {
+class PeerHttpClient final : public HttpClient {
 public:
-  PeerHttp(HttpHandler Peer, FakeLoop &Home)
-      : Peer_(std::move(Peer)), Home_(Home) {}
+  PeerHttpClient(HttpHandler Peer, FakeLoop &ControlLoop)
+      : Peer_(std::move(Peer)), ControlLoop_(ControlLoop) {}
   void send(HttpCall Call, HttpCallback Done) override {
-    ++Calls;
+    ++CallCount;
     if (Hang)
-      return Home_.after(Call.Timeout,
-                         [Done] { Done(failure(ErrorCode::Timeout)); });
-    if (Fault)
-      return Home_.post([Done, Fault = *Fault] { Done(failure(Fault)); });
+      return ControlLoop_.after(Call.Timeout,
+                                [Done] { Done(failure(ErrorCode::Timeout)); });
+    if (Failure)
+      return ControlLoop_.post(
+          [Done, Code = *Failure] { Done(failure(Code)); });
     HttpRequest Request;
     Request.Method = Call.Method;
     Request.Path = Call.Url.substr(Call.Url.find("/peer/"));
     Request.Body = Call.Body;
-    Peer_(Request, [Done](HttpResponse Answer) { Done(std::move(Answer)); });
+    Peer_(Request,
+          [Done](HttpResponse Response) { Done(std::move(Response)); });
   }
   HttpTraffic traffic() const override { return {}; }
-  std::optional<ErrorCode> Fault;
+  std::optional<ErrorCode> Failure;
   /// Calls get no answer.
   bool Hang = false;
-  int Calls = 0;
+  int CallCount = 0;
 
 private:
   HttpHandler Peer_;
-  FakeLoop &Home_;
+  FakeLoop &ControlLoop_;
 };
 
-struct Fixture {
-  Fixture()
-      : Direct(Rows, Home), OfPeer(Rows, Home), Events("t", 10, nullptr),
-        Http(makePeerHandler(Pools, Advisor, OfPeer, Home.Time), Home),
-        Store(Direct, Http, Home, Home.Time, Events, Metrics,
+struct RelayedStoreFixture {
+  RelayedStoreFixture()
+      : Direct(Rows, ControlLoop), PeerStore(Rows, ControlLoop),
+        Events("t", 10, nullptr),
+        Http(makePeerHandler(Pools, Advisor, PeerStore, ControlLoop.Time),
+             ControlLoop),
+        Store(Direct, Http, ControlLoop, ControlLoop.Time, Events, Metrics,
               [] { return std::vector<std::string>{"peer:1"}; }) {}
 
   /// Both daemons have made calls, so that the peer knows that it reaches the
   /// store, and this one that it does not.
-  void warmUp() {
-    OfPeer.read(RowRange{"t", "p", "", ""}, milliseconds(500),
-                [](const Result<RowPage> &) {});
-    Home.runFor(milliseconds(50));
+  void makeFirstCalls() {
+    PeerStore.read(RowRange{"t", "p", "", ""}, milliseconds(500),
+                   [](const Result<RowPage> &) {});
+    ControlLoop.runFor(milliseconds(50));
     Store.read(RowRange{"t", "p", "", ""}, milliseconds(500),
                [](const Result<RowPage> &) {});
-    Home.runFor(milliseconds(50));
+    ControlLoop.runFor(milliseconds(50));
   }
 
   Result<RowCommit> commit(const std::string &Value) {
-    Result<RowCommit> Out = failure(ErrorCode::NotReady);
+    Result<RowCommit> Commit = failure(ErrorCode::NotReady);
     RowTransaction Change;
     Change.Puts.push_back(RowPut{RowName{"t", "p", "k"}, Value});
-    Store.commit(Change, milliseconds(500),
-                 [&](Result<RowCommit> Outcome) { Out = std::move(Outcome); });
-    Home.runFor(milliseconds(600));
-    return Out;
+    Store.commit(Change, milliseconds(500), [&](Result<RowCommit> Outcome) {
+      Commit = std::move(Outcome);
+    });
+    ControlLoop.runFor(milliseconds(600));
+    return Commit;
   }
 
-  FakeLoop Home;
+  FakeLoop ControlLoop;
   FakeRows Rows;
   FakeRowStore Direct;
-  FakeRowStore OfPeer;
+  FakeRowStore PeerStore;
   EventLog Events;
   FleetMetrics Metrics;
   NoPools Pools;
   NoAdvisor Advisor;
-  PeerHttp Http;
+  PeerHttpClient Http;
   RelayedStore Store;
 };
 
-StoreFate refused() { return StoreFate{StoreFate::Refused, {}}; }
+StoreFate refuseCall() { return StoreFate{StoreFate::Refused, {}}; }
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(refusedCallGoesThroughAPeer, Fixture) {
-  Direct.Decide = refused;
-  warmUp();
+BOOST_FIXTURE_TEST_CASE(refusedCallIsRelayed, RelayedStoreFixture) {
+  Direct.Decide = refuseCall;
+  makeFirstCalls();
   BOOST_REQUIRE(commit("a"));
   BOOST_CHECK_EQUAL(Rows.find(RowName{"t", "p", "k"})->Value, "a");
   Result<RowPage> Page = RowPage{};
   Store.read(RowRange{"t", "p", "", ""}, milliseconds(500),
-             [&](Result<RowPage> Answer) { Page = std::move(Answer); });
-  Home.runFor(milliseconds(1000));
+             [&](Result<RowPage> Response) { Page = std::move(Response); });
+  ControlLoop.runFor(milliseconds(1000));
   BOOST_REQUIRE(Page);
   BOOST_CHECK_EQUAL(Page->Rows.size(), 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(directCallsComeBackWhenTheStoreDoes, Fixture) {
-  Direct.Decide = refused;
-  warmUp();
-  for (int Each = 0; Each < 3; ++Each)
+BOOST_FIXTURE_TEST_CASE(directCallsResumeWhenStoreIsReachable,
+                        RelayedStoreFixture) {
+  Direct.Decide = refuseCall;
+  makeFirstCalls();
+  for (int Count = 0; Count < 3; ++Count)
     BOOST_REQUIRE(commit("x"));
   Direct.Decide = nullptr;
-  for (int Each = 0; Each < 3; ++Each)
+  for (int Count = 0; Count < 3; ++Count)
     BOOST_REQUIRE(commit("y"));
-  const int Calls = Http.Calls;
+  const int CallCount = Http.CallCount;
   BOOST_REQUIRE(commit("z"));
-  BOOST_CHECK_EQUAL(Http.Calls, Calls);
+  BOOST_CHECK_EQUAL(Http.CallCount, CallCount);
 }
 
-BOOST_FIXTURE_TEST_CASE(unknownOutcomeIsNeverRepeatedElsewhere, Fixture) {
+BOOST_FIXTURE_TEST_CASE(commitWithUnknownOutcomeIsNotRelayed,
+                        RelayedStoreFixture) {
   Direct.Decide = [] { return StoreFate{StoreFate::LostAfter, {}}; };
   const auto Outcome = commit("x");
   BOOST_REQUIRE(!Outcome);
   BOOST_CHECK(Outcome.error().Code == ErrorCode::WriteOutcomeUnknown);
-  BOOST_CHECK_EQUAL(OfPeer.Commits, 0);
+  BOOST_CHECK_EQUAL(PeerStore.Commits, 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(peerWhoseAnswerIsLostLeavesTheOutcomeUnknown, Fixture) {
-  Direct.Decide = refused;
-  warmUp();
+BOOST_FIXTURE_TEST_CASE(lostPeerResponseGivesUnknownOutcome,
+                        RelayedStoreFixture) {
+  Direct.Decide = refuseCall;
+  makeFirstCalls();
   // The peer was asked, and nobody hears what came of it.
-  OfPeer.Decide = [] { return StoreFate{StoreFate::LostAfter, {}}; };
+  PeerStore.Decide = [] { return StoreFate{StoreFate::LostAfter, {}}; };
   const auto Outcome = commit("x");
   BOOST_REQUIRE(!Outcome);
   BOOST_CHECK(Outcome.error().Code == ErrorCode::WriteOutcomeUnknown);
 }
 
-BOOST_FIXTURE_TEST_CASE(refusalOfAllIsCertain, Fixture) {
-  Direct.Decide = refused;
-  OfPeer.Decide = refused;
-  warmUp();
+BOOST_FIXTURE_TEST_CASE(refusalByAllIsPlatformUnavailable,
+                        RelayedStoreFixture) {
+  Direct.Decide = refuseCall;
+  PeerStore.Decide = refuseCall;
+  makeFirstCalls();
   const auto Outcome = commit("x");
   BOOST_REQUIRE(!Outcome);
   BOOST_CHECK(Outcome.error().Code == ErrorCode::PlatformUnavailable);
 }
 
-BOOST_FIXTURE_TEST_CASE(silentPeerIsNotUsed, Fixture) {
+BOOST_FIXTURE_TEST_CASE(peerThatFailsProbeIsNotUsed, RelayedStoreFixture) {
   // A commit lost on its way to a peer would be neither accepted nor refused.
-  Direct.Decide = refused;
-  Http.Fault = ErrorCode::Timeout;
-  warmUp();
+  Direct.Decide = refuseCall;
+  Http.Failure = ErrorCode::Timeout;
+  makeFirstCalls();
   const auto Outcome = commit("x");
   BOOST_REQUIRE(!Outcome);
   BOOST_CHECK(Outcome.error().Code == ErrorCode::PlatformUnavailable);
 }
 
-BOOST_FIXTURE_TEST_CASE(peerThatEndsHoldsNoChangeBackForLong, Fixture) {
+BOOST_FIXTURE_TEST_CASE(unresponsivePeerDelaysChangesOnlyBriefly,
+                        RelayedStoreFixture) {
   // Found as contracts that came into force 2.7 s late: the wait for changes
   // went through a daemon that lost power.
-  Direct.Decide = refused;
-  warmUp();
+  Direct.Decide = refuseCall;
+  makeFirstCalls();
   Http.Hang = true;
   std::optional<TimePoint> Failed;
-  Store.changes(RowChanges{"t", 0, milliseconds(1500)},
-                [&](const Result<RowPage> &) { Failed = Home.Time.now(); });
-  const TimePoint Begin = Home.Time.now();
-  Home.runFor(milliseconds(1500));
+  Store.changes(
+      RowChanges{"t", 0, milliseconds(1500)},
+      [&](const Result<RowPage> &) { Failed = ControlLoop.Time.now(); });
+  const TimePoint Begin = ControlLoop.Time.now();
+  ControlLoop.runFor(milliseconds(1500));
   BOOST_REQUIRE(Failed);
   BOOST_CHECK(*Failed - Begin <= milliseconds(1200));
 }
 
-BOOST_AUTO_TEST_CASE(messagesCarryBytesWhole) {
+BOOST_AUTO_TEST_CASE(messagesPreserveBinaryValues) {
   const std::string Value("\0\xff\x01z", 4);
   RowTransaction Change;
   Change.Checks.push_back(RowCheck{RowName{"t", "p", "k"}, 7});
@@ -183,5 +194,5 @@
   BOOST_CHECK_EQUAL(Commit.Change.Puts.at(0).Value, Value);
   BOOST_CHECK_EQUAL(Commit.Change.Checks.at(0).Version, 7);
   BOOST_CHECK(!decodeStoreCall("garbage"));
-  BOOST_CHECK(!decodePageAnswer("\x93"));
+  BOOST_CHECK(!decodePageResponse("\x93"));
 }
