--- a/packages/fleet/include/cuminroad/fleet/PeerCalls.h
+++ b/packages/fleet/include/cuminroad/fleet/PeerCalls.h
@@ -13,7 +13,7 @@
 
 namespace cuminroad {
 
-/// Calls to other daemons. Each answers on the loop's thread.
+/// Calls to other daemons. Callbacks run on the thread of the client's loop.
 class PeerCalls {
 public:
   using StageDone = std::function<void(Result<std::optional<JobStage>>)>;
@@ -22,14 +22,15 @@
   /// \p Client must outlive the calls.
   explicit PeerCalls(HttpClient &Client) : Client_(Client) {}
 
-  /// Asks a pool's owner how far a job is; nothing where it does not know it.
-  /// NoOwner where the daemon does not own the pool.
+  /// Asks the pool's owner for the stage of a job. The result is empty if the
+  /// owner doesn't know the job, and NoOwner if the daemon doesn't own the
+  /// pool.
   void stage(const std::string &Address, const std::string &Service,
              const std::string &Job, milliseconds Timeout, StageDone Done);
-  /// Asks a pool's owner for the jobs of a queue that have not begun.
+  /// Asks the pool's owner how many jobs of a queue haven't started.
   void pending(const std::string &Address, const std::string &Service,
                const std::string &Queue, milliseconds Timeout, CountDone Done);
-  /// Lets a daemon ask the placement advisor.
+  /// Asks the placement advisor through another daemon.
   void advise(const std::string &Address, const StepName &Step,
               std::span<const std::string> Vms, milliseconds Timeout,
               PlacementAdvisor::Done Done);
--- a/packages/fleet/include/cuminroad/fleet/PeerService.h
+++ b/packages/fleet/include/cuminroad/fleet/PeerService.h
@@ -13,23 +13,24 @@
 
 namespace cuminroad {
 
-/// The pools that this daemon owns, as other daemons ask about them.
+/// Answers other daemons' queries about the pools that this daemon owns.
 class OwnedPools {
 public:
   virtual ~OwnedPools() = default;
-  /// Whether this daemon owns the pool and has read its jobs.
+  /// Whether this daemon owns the pool and has loaded its jobs.
   virtual bool owns(std::string_view Service) const = 0;
-  /// \returns how far the job is, by what is recorded; nothing where the owner
-  /// does not know it.
+  /// \returns the job's stage according to the persisted state, or nothing if
+  /// the owner doesn't know the job.
   virtual std::optional<JobStage> stage(std::string_view Service,
                                         std::string_view Job) const = 0;
+  /// \returns how many jobs of the queue haven't started.
   virtual int pending(std::string_view Service,
                       std::string_view Queue) const = 0;
 };
 
-/// \returns the handler of calls from other daemons; see PeerCalls and
-/// RelayedStore. All arguments must outlive it.
-/// \param Store without relay, so that no call is passed on twice.
+/// \returns the handler of calls from other daemons, which are made by
+/// PeerCalls and RelayedStore. All arguments must outlive it. \param Store a
+/// store without relay, so that no call is relayed twice.
 HttpHandler makePeerHandler(const OwnedPools &Pools, PlacementAdvisor &Advisor,
                             RowStore &Store, const Clock &MonotonicClock);
 
--- a/packages/fleet/include/cuminroad/fleet/RelayedStore.h
+++ b/packages/fleet/include/cuminroad/fleet/RelayedStore.h
@@ -14,20 +14,21 @@
 
 namespace cuminroad {
 
-/// The store, reached through another daemon while it turns this one away. A
-/// call that certainly did nothing is repeated through a peer at once; while
-/// calls keep failing they go to peers first, and one in a while is tried
-/// directly. Peers never pass a relayed call on.
+/// Makes calls to the store through another daemon while this one can't reach
+/// it. A call that certainly had no effect is repeated through a peer at once.
+/// While direct calls keep failing, calls go to peers first, and one is tried
+/// directly from time to time. Peers never relay a relayed call again.
 ///
-/// Only peers that have lately said that they reach the store are used. So
-/// where the store is away for all, calls fail at once and for certain, and
-/// none is lost on its way to a peer that is cut off as well.
+/// Only peers that recently reported that they reach the store are used. So if
+/// the store is unreachable for all daemons, calls fail at once and certainly
+/// had no effect, and none is lost on its way to a peer that is disconnected as
+/// well.
 ///
-/// Outcomes mean the same as without relay: a commit whose answer was lost
-/// anywhere on the way is WriteOutcomeUnknown.
+/// Errors have the same meaning as without relay: a commit whose response was
+/// lost anywhere on the way fails with WriteOutcomeUnknown.
 class RelayedStore final : public RowStore {
 public:
-  /// Addresses of the peers to try, the best first.
+  /// \returns the addresses of the peers to try, the best first.
   using PeerList = std::function<std::vector<std::string>()>;
 
   RelayedStore(RowStore &Direct, HttpClient &Client, Loop &ControlLoop,
@@ -42,27 +43,33 @@
   TimePoint lastContact() const override;
 
 private:
-  /// What both kinds of calls need to be passed on.
+  /// An encoded call and the peers through which it may still be made.
   struct RelayedCall {
     std::string Body;
     milliseconds Timeout{0};
     std::vector<std::string> Peers;
   };
 
+  /// Whether the next call goes to peers first.
   bool shouldRelayFirst();
-  /// Notes how a direct call ended; \returns whether to try a peer.
+  /// Records whether a direct call failed.
+  /// \returns whether to try a peer.
   bool recordDirectOutcome(bool Failed);
   void relayPage(RelayedCall Call, PageDone Done);
   void relayCommit(RelayedCall Call, CommitDone Done);
   void send(const RelayedCall &Call, HttpCallback Done);
-  /// \returns \p Done, which first counts the call.
+  /// \returns a callback that records the call's outcome and duration in the
+  /// metrics and then calls \p Done.
   template <typename T>
   std::function<void(Result<T>)>
   withMetrics(std::string_view Kind, std::function<void(Result<T>)> Done);
+  /// Records the store's time, as reported by a peer that has just reached it.
   void recordRelayedContact(milliseconds StoreTime);
+  /// \returns the peers for one call: some that reach the store, starting with
+  /// the next in turn.
   std::vector<std::string> selectPeers();
-  /// Asks peers whether they reach the store, for as long as this daemon is
-  /// turned away.
+  /// Periodically asks peers whether they reach the store, as long as direct
+  /// calls fail.
   void probePeers();
   void probe(const std::string &Peer);
 
@@ -76,10 +83,13 @@
   std::size_t NextPeer_ = 0;
   std::size_t NextProbe_ = 0;
   bool Probing_ = false;
-  /// Until when a peer counts as one that reaches the store.
+  /// The time until which each peer counts as reaching the store.
   std::map<std::string, TimePoint> ReachableUntil_;
+  /// Consecutive failures of direct calls.
   int DirectFailures_ = 0;
+  /// While calls go to peers first, the time of the next direct call.
   TimePoint NextDirectCall_{};
+  /// Time of the last successful relayed call, and the store's time then.
   TimePoint RelayedContact_{};
   milliseconds RelayedStoreTime_{0};
 };
--- a/packages/fleet/src/PeerCalls.cpp
+++ b/packages/fleet/src/PeerCalls.cpp
@@ -21,7 +21,7 @@
   return Call;
 }
 
-/// A peer's answer with status 200, or why there is none.
+/// \returns the body of a response with status 200, or why there is none.
 Result<std::string> responseBody(HttpResult Response) {
   if (!Response)
     return tl::unexpected(Response.error());
--- a/packages/fleet/src/PeerMessages.h
+++ b/packages/fleet/src/PeerMessages.h
@@ -9,14 +9,14 @@
 #include "cuminroad/base/Error.h"
 #include "cuminroad/fleet/PlacementAdvisor.h"
 
-// Bodies and paths of the calls between daemons. Bodies are MessagePack.
+// Paths and bodies of calls between daemons. Bodies are in MessagePack.
 
 namespace cuminroad {
 
 inline constexpr std::string_view StagePath = "/peer/stage";
 inline constexpr std::string_view PendingPath = "/peer/pending";
 inline constexpr std::string_view AdvisePath = "/peer/advise";
-/// The daemon does not own the pool, or has not read its jobs yet.
+/// Status if the daemon doesn't own the pool or hasn't loaded its jobs yet.
 inline constexpr int StatusNotOwner = 409;
 
 struct AdviseRequest {
--- a/packages/fleet/src/PeerService.cpp
+++ b/packages/fleet/src/PeerService.cpp
@@ -13,9 +13,10 @@
 constexpr int StatusNotFound = 404;
 constexpr int StatusAdvisorFailed = 502;
 constexpr int StatusStoreUnreachable = 503;
+/// Sent instead of a stage for a job that the owner doesn't know.
 constexpr int UnknownJobStage = -1;
-/// A daemon whose last answer from the store is older does not count as
-/// reaching it. Standbys read the store every 700 ms at least.
+/// A daemon that received its last response from the store longer ago than this
+/// doesn't count as reaching it. Standbys read the store at least every 700 ms.
 constexpr milliseconds MaxContactAge{900};
 
 HttpResponse plainResponse(int Status, std::string Body) {
@@ -41,7 +42,7 @@
                  });
 }
 
-/// Makes a call of the store for a daemon that the store turns away.
+/// Makes a call to the store for a daemon that can't reach it.
 void relayStoreCall(RowStore &Store, const HttpRequest &Request,
                     HttpResponder Respond) {
   const auto Call = decodeStoreCall(Request.Body);
--- a/packages/fleet/src/RelayedStore.cpp
+++ b/packages/fleet/src/RelayedStore.cpp
@@ -10,31 +10,34 @@
 
 namespace {
 
-/// Failures in a row after which calls go to peers first.
+/// Consecutive failures of direct calls after which calls go to peers first.
 constexpr int FailuresBeforeRelay = 2;
-/// While calls go to peers, one is tried directly this often.
+/// Interval of direct calls while calls go to peers first.
 constexpr milliseconds DirectRetryInterval{700};
-/// Peers tried for one call.
+/// Peers tried for one call, at most.
 constexpr std::size_t MaxPeersPerCall = 2;
 constexpr milliseconds ConnectTimeout{250};
-/// Longest wait for a peer; it may be cut off itself.
+/// Longest timeout of a relayed call; the peer may be disconnected from the
+/// store itself.
 constexpr milliseconds RelayTimeoutMax{700};
-/// How often some peers are asked whether they reach the store, how many of
-/// them, and how long the answer may take.
+/// Interval at which peers are asked whether they reach the store, the number
+/// of peers asked each time, and the timeout of a probe.
 constexpr milliseconds ProbeInterval{200};
 constexpr std::size_t PeersPerProbeRound = 4;
 constexpr milliseconds ProbeTimeout{250};
-/// How long a peer's word that it reaches the store is believed.
+/// How long a peer counts as reaching the store after it said so.
 constexpr milliseconds ProbeResultLifetime{700};
 constexpr int StatusOk = 200;
-/// Time for the peer's own call beyond its timeout.
+/// Added to a relayed call's timeout, so that the peer's own call to the store
+/// times out first and its response arrives in time.
 constexpr milliseconds RelayTimeoutMargin{100};
-/// Time for the store's answer beyond what it was asked to wait.
+/// Time for the store's response beyond the time that it was asked to wait.
 constexpr milliseconds ResponseAllowance{500};
-/// Longest wait for a change through a peer. The peer may end meanwhile, and a
-/// change of contracts must be in force within seconds.
+/// Longest wait for changes through a peer. The peer may fail meanwhile, and a
+/// changed contract must come into force within seconds.
 constexpr milliseconds RelayedWaitMax{400};
 
+/// Whether a call that failed with \p Failure certainly had no effect.
 bool isUnavailable(const Error &Failure) {
   return Failure.Code == ErrorCode::PlatformUnavailable;
 }
--- a/packages/fleet/src/StoreMessages.h
+++ b/packages/fleet/src/StoreMessages.h
@@ -8,12 +8,13 @@
 #include "cuminroad/base/Error.h"
 #include "cuminroad/store/RowStore.h"
 
-// Calls of the store that one daemon makes for another, in MessagePack.
+// Messages, in MessagePack, for calls to the store that one daemon makes for
+// another.
 
 namespace cuminroad {
 
 inline constexpr std::string_view StoreCallPath = "/peer/store";
-/// Answered with 200 by a daemon that has lately reached the store.
+/// A daemon that has recently reached the store answers with status 200.
 inline constexpr std::string_view StoreReachablePath = "/peer/reach";
 
 struct CommitCall {
@@ -29,7 +30,7 @@
 };
 using StoreCall = std::variant<CommitCall, ReadCall, ChangesCall>;
 
-/// An answer with the store's time as the peer knows it.
+/// A store's response, with the store's time as known by the peer.
 template <typename T> struct StoreResponse {
   Result<T> Value;
   milliseconds StoreTime{0};
--- a/packages/fleet/tests/RelayedStoreTest.cpp
+++ b/packages/fleet/tests/RelayedStoreTest.cpp
@@ -1,4 +1,4 @@
-// Calls of the store through other daemons.
+// Tests calls to the store through other daemons.
 
 #include <boost/test/unit_test.hpp>
 
@@ -20,7 +20,8 @@
   }
 };
 
-/// Hands calls to the peer's handler, or fails them.
+/// Passes calls to the peer's handler, fails them with Failure, or lets them
+/// time out.
 class PeerHttpClient final : public HttpClient {
 public:
   PeerHttpClient(HttpHandler Peer, FakeLoop &ControlLoop)
@@ -42,7 +43,7 @@
   }
   HttpTraffic traffic() const override { return {}; }
   std::optional<ErrorCode> Failure;
-  /// Calls get no answer.
+  /// Calls get no response until they time out.
   bool Hang = false;
   int CallCount = 0;
 
@@ -60,8 +61,8 @@
         Store(Direct, Http, ControlLoop, ControlLoop.Time, Events, Metrics,
               [] { return std::vector<std::string>{"peer:1"}; }) {}
 
-  /// Both daemons have made calls, so that the peer knows that it reaches the
-  /// store, and this one that it does not.
+  /// Makes a call on each daemon, so that the peer knows whether it reaches the
+  /// store, and this daemon probes the peer if its own call fails.
   void makeFirstCalls() {
     PeerStore.read(RowRange{"t", "p", "", ""}, milliseconds(500),
                    [](const Result<RowPage> &) {});
@@ -138,7 +139,7 @@
                         RelayedStoreFixture) {
   Direct.Decide = refuseCall;
   makeFirstCalls();
-  // The peer was asked, and nobody hears what came of it.
+  // The peer's commit is applied, but the store's response to it is lost.
   PeerStore.Decide = [] { return StoreFate{StoreFate::LostAfter, {}}; };
   const auto Outcome = commit("x");
   BOOST_REQUIRE(!Outcome);
@@ -156,7 +157,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(peerThatFailsProbeIsNotUsed, RelayedStoreFixture) {
-  // A commit lost on its way to a peer would be neither accepted nor refused.
+  // A commit lost on its way to such a peer would have an unknown outcome.
   Direct.Decide = refuseCall;
   Http.Failure = ErrorCode::Timeout;
   makeFirstCalls();
@@ -167,8 +168,8 @@
 
 BOOST_FIXTURE_TEST_CASE(unresponsivePeerDelaysChangesOnlyBriefly,
                         RelayedStoreFixture) {
-  // Found as contracts that came into force 2.7 s late: the wait for changes
-  // went through a daemon that lost power.
+  // A wait for changes through a daemon that loses power must time out early.
+  // Otherwise contracts come into force late, once by 2.7 s.
   Direct.Decide = refuseCall;
   makeFirstCalls();
   Http.Hang = true;
