--- a/packages/fleet/include/cuminroad/fleet/PeerService.h
+++ b/packages/fleet/include/cuminroad/fleet/PeerService.h
@@ -29,8 +29,8 @@
 };
 
 /// \returns the handler of calls from other daemons, which are made by
-/// PeerCalls and RelayedStore. All arguments must outlive it. \param Store a
-/// store without relay, so that no call is relayed twice.
+/// PeerCalls and RelayedStore. All arguments must outlive it.
+/// \param Store a store without relay, so that no call is relayed twice.
 HttpHandler makePeerHandler(const OwnedPools &Pools, PlacementAdvisor &Advisor,
                             RowStore &Store, const Clock &MonotonicClock);
 
--- a/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
+++ b/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
@@ -57,9 +57,9 @@
                          std::span<const InventoryTask> Inventory) = 0;
   /// Reports that the VM takes no new tasks; running tasks may end there.
   virtual void vmLeaving(std::string_view Vm) = 0;
-  /// Reports that certainly no task runs on the VM any more: either it is gone
-  /// for ever (\p Permanently), or the leases of all its tasks have lapsed and
-  /// it must be claimed again before it is used.
+  /// Reports that certainly no task runs on the VM any more: either it is
+  /// \p Permanently gone, or the leases of all its tasks have lapsed and it
+  /// must be claimed again before it is used.
   virtual void vmEmptied(std::string_view Vm, bool Permanently) = 0;
 
   /// Sets the customer's limit in this failure domain; running tasks continue.
@@ -69,7 +69,8 @@
   virtual void removeLimit(std::string_view Customer) = 0;
 
   /// \param MaxLimit the largest limit that the customer can get in this
-  /// failure domain. \returns nothing, or the reason why the job can never run.
+  /// failure domain.
+  /// \returns nothing, or the reason why the job can never run.
   virtual Result<void> checkFeasible(const JobSpec &Spec,
                                      const Capacity &MaxLimit) const = 0;
   /// Queues a job that passed checkFeasible() and is persisted.
--- a/packages/scheduling/src/PackingScheduler.cpp
+++ b/packages/scheduling/src/PackingScheduler.cpp
@@ -9,6 +9,8 @@
 /// Attempt numbers hold the owner's epoch above this many bits of a counter, so
 /// that attempts of a later owner are larger.
 constexpr int AttemptBits = 32;
+/// How often a delay is doubled at most, so that the factor stays in an int.
+constexpr int MaxDoublings = 16;
 /// Weight of the latest task in the exponential moving average of the run time
 /// ratio.
 constexpr double RunTimeWeight = 0.2;
@@ -309,9 +311,9 @@
     endJobIfDone(Handle.Job);
     return;
   }
-  const int Shift = std::min(Job.RefusedStarts++, 16);
-  const auto Delay =
-      std::min(Options_.RetryDelayMin * (1 << Shift), Options_.RetryDelayMax);
+  const int Doublings = std::min(Job.RefusedStarts++, MaxDoublings);
+  const auto Delay = std::min(Options_.RetryDelayMin * (1 << Doublings),
+                              Options_.RetryDelayMax);
   std::uniform_real_distribution<double> Jitter(0.5, 1.0);
   Job.NotBefore =
       MonotonicClock_.now() +
@@ -409,9 +411,9 @@
   if (Vm.Quarantined ||
       (Vm.ConsecutiveFailures < Options_.FailuresToQuarantine && !Vm.Probation))
     return;
-  const int Shift = std::min(Vm.ConsecutiveQuarantines++, 16);
-  const auto QuarantineTime =
-      std::min(Options_.QuarantineMin * (1 << Shift), Options_.QuarantineMax);
+  const int Doublings = std::min(Vm.ConsecutiveQuarantines++, MaxDoublings);
+  const auto QuarantineTime = std::min(
+      Options_.QuarantineMin * (1 << Doublings), Options_.QuarantineMax);
   Vm.Quarantined = true;
   Vm.Probation = false;
   Vm.QuarantinedUntil = MonotonicClock_.now() + QuarantineTime;
--- a/packages/scheduling/src/PreemptionPlan.cpp
+++ b/packages/scheduling/src/PreemptionPlan.cpp
@@ -15,8 +15,8 @@
 }
 
 /// Adds tasks, those with the most processors first, until the urgent task
-/// fits; then drops those that turn out not to be needed. \returns nothing
-/// where the urgent task doesn't fit.
+/// fits; then drops those that turn out not to be needed.
+/// \returns nothing where the urgent task doesn't fit.
 std::vector<TaskHandle> selectVictims(const Capacity &Size, const VmState &Vm,
                                       std::vector<TaskHandle> PreemptibleTasks,
                                       std::span<const JobState> Jobs) {
--- a/packages/scheduling/src/ReservationPlan.h
+++ b/packages/scheduling/src/ReservationPlan.h
@@ -18,9 +18,9 @@
 };
 
 /// Plans from the expected ends of running tasks: their declared run times
-/// times the customer's average ratio of actual to declared run time. \returns
-/// nothing where the job wouldn't fit even after the end of all tasks with a
-/// declared run time.
+/// times the customer's average ratio of actual to declared run time.
+/// \returns nothing where the job wouldn't fit even after the end of all tasks
+/// with a declared run time.
 std::optional<ReservationPlan>
 planReservation(const JobState &Job, TimePoint Now,
                 std::span<const VmState> Vms, std::span<const JobState> Jobs,
--- a/packages/scheduling/src/SchedulerTables.cpp
+++ b/packages/scheduling/src/SchedulerTables.cpp
@@ -244,7 +244,7 @@
 Capacity PackingScheduler::headroom(const CustomerState &Customer) const {
   if (!Customer.Limit)
     return {};
-  // Any customer's tasks may run on a VM that has not told its inventory.
+  // Any customer's tasks may run on a VM whose inventory isn't known.
   return Customer.Limit->MaxHeld - Customer.HeldCapacity -
          capacityAwaitingInventory();
 }
--- a/packages/scheduling/src/VmState.h
+++ b/packages/scheduling/src/VmState.h
@@ -38,7 +38,8 @@
   bool Quarantined = false;
   /// Takes one task at a time until one succeeds.
   bool Probation = false;
-  /// The job that has this VM reserved, or -1, and from when it needs it.
+  /// The job for which the VM is reserved, or -1, and the time from which that
+  /// job needs the VM.
   int ReservedFor = -1;
   TimePoint ReservedFrom{};
 
