--- a/packages/daemon/include/cuminroad/daemon/Admission.h
+++ b/packages/daemon/include/cuminroad/daemon/Admission.h
@@ -41,7 +41,7 @@
 /// flight when a cap was lowered.
 class Admission {
 public:
-  explicit Admission(const Clock &Clock);
+  explicit Admission(const Clock &MonotonicClock);
 
   /// Applies an answer to the request sent at \p AskedAt; an answer to any but
   /// the newest request is ignored. The caps can be used for \p Lease from
@@ -94,7 +94,7 @@
   std::optional<std::string> pickVm(const SlotDemand &Demand) const;
   int capOf(const std::string &Service) const;
 
-  const Clock &Clock_;
+  const Clock &MonotonicClock_;
   std::int64_t Seq_ = 0;
   bool GaveBack_ = false;
   /// The owner asked for all caps.
--- a/packages/daemon/include/cuminroad/daemon/ConfigKeeper.h
+++ b/packages/daemon/include/cuminroad/daemon/ConfigKeeper.h
@@ -63,8 +63,8 @@
 public:
   using ChangeDone = std::function<void(Result<ChangeResult>)>;
 
-  ConfigKeeper(Table &Rows, Loop &Home, const Clock &Time, EventLog &Events,
-               const Settings &Config, const Identity &Self,
+  ConfigKeeper(Table &Rows, Loop &ControlLoop, const Clock &MonotonicClock,
+               EventLog &Events, const Settings &Config, const Identity &Self,
                ContractBook &Contracts, MemberBook &Members);
 
   /// Registers this daemon and begins to follow the configuration.
@@ -117,8 +117,8 @@
   static RowWrite headWrite(const std::string &Reason);
 
   Table &Rows_;
-  Loop &Home_;
-  const Clock &Time_;
+  Loop &ControlLoop_;
+  const Clock &MonotonicClock_;
   EventLog &Events_;
   const Settings &Config_;
   Identity Self_;
--- a/packages/daemon/include/cuminroad/daemon/GrantBook.h
+++ b/packages/daemon/include/cuminroad/daemon/GrantBook.h
@@ -39,7 +39,8 @@
   /// \param Inherited whether an earlier owner may have given grants that this
   /// book does not know of. Until the settling time has passed, nobody then
   /// gets more than what front doors report and give back.
-  GrantBook(const Clock &Clock, const GrantTimes &Times, bool Inherited);
+  GrantBook(const Clock &MonotonicClock, const GrantTimes &Times,
+            bool Inherited);
 
   /// Sets the names of the domain's daemons. An even part of each customer's
   /// share is kept for each one that is silent: it may be cut off together
@@ -64,7 +65,7 @@
   /// VMs have in flight from daemons that holders() does not name. No daemon
   /// may start more on an earlier owner's grants.
   void settle(const Counts &OnVms, const Counts &OfCustomers);
-  bool settled() const { return Clock_.now() >= SettledAt_; }
+  bool settled() const { return MonotonicClock_.now() >= SettledAt_; }
   /// \returns the front doors heard of and not yet given up.
   std::vector<std::string> holders() const;
 
@@ -103,7 +104,7 @@
   int available(const Pool &Pool, bool ByCustomer) const;
   bool silent(const std::string &Member) const;
 
-  const Clock &Clock_;
+  const Clock &MonotonicClock_;
   GrantTimes Times_;
   TimePoint SettledAt_;
   std::vector<std::string> Members_;
--- a/packages/daemon/include/cuminroad/daemon/Ownership.h
+++ b/packages/daemon/include/cuminroad/daemon/Ownership.h
@@ -30,8 +30,8 @@
 /// them, and by a newer owner's notice.
 class Ownership {
 public:
-  Ownership(Table &Rows, Loop &Home, const Clock &Time, EventLog &Events,
-            const Settings &Config, const Identity &Self);
+  Ownership(Table &Rows, Loop &ControlLoop, const Clock &MonotonicClock,
+            EventLog &Events, const Settings &Config, const Identity &Self);
 
   void start();
   /// Stops being owner, and never becomes it again in this process.
@@ -70,8 +70,8 @@
   std::string ownerKey() const;
 
   Table &Rows_;
-  Loop &Home_;
-  const Clock &Time_;
+  Loop &ControlLoop_;
+  const Clock &MonotonicClock_;
   EventLog &Events_;
   const Settings &Config_;
   Identity Self_;
--- a/packages/daemon/include/cuminroad/daemon/ShareKeeper.h
+++ b/packages/daemon/include/cuminroad/daemon/ShareKeeper.h
@@ -47,7 +47,8 @@
 /// whoever is cut off. Runs on the control thread.
 class ShareKeeper : public std::enable_shared_from_this<ShareKeeper> {
 public:
-  ShareKeeper(Table &Rows, Loop &Home, ShareScope Scope, const ShareUse &Use);
+  ShareKeeper(Table &Rows, Loop &ControlLoop, ShareScope Scope,
+              const ShareUse &Use);
 
   void start();
   void close() { Closed_ = true; }
@@ -89,7 +90,7 @@
   std::string rowKey(const std::string &Customer) const;
 
   Table &Rows_;
-  Loop &Home_;
+  Loop &ControlLoop_;
   ShareScope Scope_;
   const ShareUse &Use_;
   bool Closed_ = false;
--- a/packages/daemon/src/Admission.cpp
+++ b/packages/daemon/src/Admission.cpp
@@ -18,9 +18,12 @@
 
 } // namespace
 
-Admission::Admission(const Clock &Clock) : Clock_(Clock) {}
+Admission::Admission(const Clock &MonotonicClock)
+    : MonotonicClock_(MonotonicClock) {}
 
-bool Admission::leaseHolds() const { return Clock_.now() < ValidUntil_; }
+bool Admission::leaseHolds() const {
+  return MonotonicClock_.now() < ValidUntil_;
+}
 
 void Admission::apply(const GrantReply &Reply, TimePoint AskedAt,
                       milliseconds Lease, milliseconds Keep) {
@@ -68,7 +71,7 @@
   Request.Seq = ++Seq_;
   GaveBack_ = false;
   Request.VmTable = VmTable_;
-  const bool Kept = Clock_.now() < KeptUntil_;
+  const bool Kept = MonotonicClock_.now() < KeptUntil_;
   for (auto &[Id, Vm] : Vms_) {
     if (!Kept)
       Vm.Cap = 0;
@@ -124,7 +127,7 @@
     // Refusing now is worth more to the caller than a late "not run".
     const int Cap = std::max(capOf(Demand.Service), 1);
     const double Wait = HoldTime_[Demand.Service] * Ahead / Cap;
-    const auto Left = Demand.StartBy - Clock_.now();
+    const auto Left = Demand.StartBy - MonotonicClock_.now();
     if (Wait > std::chrono::duration<double, std::milli>(Left).count())
       return failure(ErrorCode::DeadlineTooClose, Demand.Service);
   }
@@ -197,7 +200,7 @@
 
 std::vector<std::pair<std::uint64_t, ErrorCode>> Admission::takeLate() {
   std::vector<std::pair<std::uint64_t, ErrorCode>> Out;
-  const TimePoint Now = Clock_.now();
+  const TimePoint Now = MonotonicClock_.now();
   for (const auto &[Key, Demand] : Waiting_) {
     if (std::get<TimePoint>(Key) > Now)
       continue;
--- a/packages/daemon/src/ConfigKeeper.cpp
+++ b/packages/daemon/src/ConfigKeeper.cpp
@@ -37,12 +37,13 @@
 
 } // namespace
 
-ConfigKeeper::ConfigKeeper(Table &Rows, Loop &Home, const Clock &Time,
-                           EventLog &Events, const Settings &Config,
-                           const Identity &Self, ContractBook &Contracts,
-                           MemberBook &Members)
-    : Rows_(Rows), Home_(Home), Time_(Time), Events_(Events), Config_(Config),
-      Self_(Self), Book_(Contracts), MemberBook_(Members) {}
+ConfigKeeper::ConfigKeeper(Table &Rows, Loop &ControlLoop,
+                           const Clock &MonotonicClock, EventLog &Events,
+                           const Settings &Config, const Identity &Self,
+                           ContractBook &Contracts, MemberBook &Members)
+    : Rows_(Rows), ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
+      Events_(Events), Config_(Config), Self_(Self), Book_(Contracts),
+      MemberBook_(Members) {}
 
 RowWrite ConfigKeeper::headWrite(const std::string &Reason) {
   return RowWrite{HeadKey, {{"reason", Reason}}};
@@ -65,7 +66,7 @@
 void ConfigKeeper::registerSelf() {
   Rows_.read(memberKey(Self_.Name), [this](Result<TableRow> Row) {
     if (!Row) {
-      Home_.after(RetryDelay, [this] { registerSelf(); });
+      ControlLoop_.after(RetryDelay, [this] { registerSelf(); });
       return;
     }
     Transaction Change;
@@ -74,7 +75,7 @@
     Change.Writes = {{Row->Key, memberValue(0)}, headWrite("member")};
     Rows_.commit(std::move(Change), [this](Result<CommitOutcome> Outcome) {
       if (!Outcome || !Outcome->committed()) {
-        Home_.after(RetryDelay, [this] { registerSelf(); });
+        ControlLoop_.after(RetryDelay, [this] { registerSelf(); });
         return;
       }
       SelfVersion_ = Outcome->Revision;
@@ -87,7 +88,7 @@
 }
 
 void ConfigKeeper::pollRegularly() {
-  Home_.after(Config_.Times.ConfigPoll, [this] { pollRegularly(); });
+  ControlLoop_.after(Config_.Times.ConfigPoll, [this] { pollRegularly(); });
   if (SelfVersion_ != 0 && !Leaving_)
     poll();
 }
@@ -141,7 +142,7 @@
       continue;
     const auto Old = Contracts_.find(Record->Customer);
     const bool Known = Old != Contracts_.end();
-    KeptContract Kept{*Record, Row.Version, Time_.now()};
+    KeptContract Kept{*Record, Row.Version, MonotonicClock_.now()};
     if (Known && Old->second.RowVersion == Row.Version) {
       Kept.PendingSince = Old->second.PendingSince;
       New.emplace(Record->Customer, std::move(Kept));
@@ -250,17 +251,18 @@
                           "another operator's change came first"));
     }
     Events_.record(EventId::ContractProposed, Change.Customer, ChangeId);
-    Waiting_.push_back(Waiting{Change.Customer, ChangeId, Done, Time_.now()});
+    Waiting_.push_back(
+        Waiting{Change.Customer, ChangeId, Done, MonotonicClock_.now()});
     poll();
   });
 }
 
 void ConfigKeeper::advancePending() {
-  Home_.after(AdvanceInterval, [this] { advancePending(); });
+  ControlLoop_.after(AdvanceInterval, [this] { advancePending(); });
   const bool Due = std::any_of(
       Contracts_.begin(), Contracts_.end(), [this](const auto &Entry) {
         return Entry.second.Record.Pending &&
-               Time_.now() - Entry.second.PendingSince > ProposerTime;
+               MonotonicClock_.now() - Entry.second.PendingSince > ProposerTime;
       });
   if (Advancing_ || (Waiting_.empty() && !Due))
     return;
@@ -289,7 +291,8 @@
     const bool Ours = std::any_of(
         Waiting_.begin(), Waiting_.end(),
         [&](const Waiting &Entry) { return Entry.ChangeId == ChangeId; });
-    const bool Overdue = Time_.now() - Kept.PendingSince > ProposerTime;
+    const bool Overdue =
+        MonotonicClock_.now() - Kept.PendingSince > ProposerTime;
     if ((Ours || Overdue) && allAcknowledged(Members, Kept.RowVersion))
       accept(Kept);
   }
@@ -334,7 +337,7 @@
     }
     // Acknowledgements of an accepted row say that its new terms apply.
     Out.InForce = Out.Accepted && !Members.empty() && Out.WaitsFor.empty();
-    if (Out.InForce || Time_.now() - Entry.Since > InForceWithin)
+    if (Out.InForce || MonotonicClock_.now() - Entry.Since > InForceWithin)
       Answers.emplace_back(std::move(Entry.Done), std::move(Out));
     else
       Still.push_back(std::move(Entry));
--- a/packages/daemon/src/GrantBook.cpp
+++ b/packages/daemon/src/GrantBook.cpp
@@ -56,10 +56,11 @@
   return countOf(Bounds, Who);
 }
 
-GrantBook::GrantBook(const Clock &Clock, const GrantTimes &Times,
+GrantBook::GrantBook(const Clock &MonotonicClock, const GrantTimes &Times,
                      bool Inherited)
-    : Clock_(Clock), Times_(Times),
-      SettledAt_(Inherited ? Clock.now() + Times.Settle : Clock.now()) {}
+    : MonotonicClock_(MonotonicClock), Times_(Times),
+      SettledAt_(Inherited ? MonotonicClock.now() + Times.Settle
+                           : MonotonicClock.now()) {}
 
 void GrantBook::setMembers(std::vector<std::string> Names) {
   Members_ = std::move(Names);
@@ -68,7 +69,7 @@
 bool GrantBook::silent(const std::string &Member) const {
   return std::none_of(Holders_.begin(), Holders_.end(), [&](const auto &Entry) {
     return Entry.second.Member == Member &&
-           Clock_.now() - Entry.second.HeardAt <= Times_.Lease;
+           MonotonicClock_.now() - Entry.second.HeardAt <= Times_.Lease;
   });
 }
 
@@ -83,7 +84,7 @@
 }
 
 void GrantBook::forgetSilent() {
-  const TimePoint Now = Clock_.now();
+  const TimePoint Now = MonotonicClock_.now();
   std::erase_if(Holders_, [&](const auto &Entry) {
     if (Now - Entry.second.HeardAt < Times_.Settle)
       return false;
@@ -140,7 +141,7 @@
   // Half is split evenly, so that a first request needs no message and each
   // front door has something to go on with under a new owner; half goes where
   // the demand is.
-  const TimePoint Now = Clock_.now();
+  const TimePoint Now = MonotonicClock_.now();
   std::vector<double> Weights;
   std::vector<std::string> Names;
   for (const auto &[Other, State] : Holders_) {
@@ -216,7 +217,7 @@
   }
   State.Seq = Request.Seq;
   State.Member = Request.From;
-  State.HeardAt = Clock_.now();
+  State.HeardAt = MonotonicClock_.now();
   State.ServiceDemand = Request.ServiceDemand;
   State.CustomerDemand = Request.CustomerDemand;
   if (Request.Basis != 0) {
@@ -252,7 +253,7 @@
 int GrantBook::demandOfCustomer(const std::string &Customer) const {
   int Sum = 0;
   for (const auto &[Name, State] : Holders_)
-    if (Clock_.now() - State.HeardAt <= Times_.Lease)
+    if (MonotonicClock_.now() - State.HeardAt <= Times_.Lease)
       Sum += countOf(State.CustomerDemand, Customer);
   return Sum;
 }
@@ -264,9 +265,9 @@
 }
 
 void GrantBook::settle(const Counts &OnVms, const Counts &OfCustomers) {
-  SettledAt_ = Clock_.now();
+  SettledAt_ = MonotonicClock_.now();
   // They end within the settling time, when a silent holder is forgotten.
-  Holders_[UnheardName].HeardAt = Clock_.now() - Times_.Lease;
+  Holders_[UnheardName].HeardAt = MonotonicClock_.now() - Times_.Lease;
   for (const auto &[Vm, Count] : OnVms)
     Vms_[Vm].Bounds[UnheardName] = Count;
   for (const auto &[Customer, Count] : OfCustomers)
--- a/packages/daemon/src/Ownership.cpp
+++ b/packages/daemon/src/Ownership.cpp
@@ -8,11 +8,11 @@
 
 namespace cuminroad {
 
-Ownership::Ownership(Table &Rows, Loop &Home, const Clock &Time,
-                     EventLog &Events, const Settings &Config,
-                     const Identity &Self)
-    : Rows_(Rows), Home_(Home), Time_(Time), Events_(Events), Config_(Config),
-      Self_(Self) {}
+Ownership::Ownership(Table &Rows, Loop &ControlLoop,
+                     const Clock &MonotonicClock, EventLog &Events,
+                     const Settings &Config, const Identity &Self)
+    : Rows_(Rows), ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
+      Events_(Events), Config_(Config), Self_(Self) {}
 
 std::string Ownership::ownerKey() const { return "owner/" + Self_.Domain; }
 std::string Ownership::epochKey() const { return "epoch/" + Self_.Domain; }
@@ -25,14 +25,16 @@
           {"epoch", Epoch}};
 }
 
-bool Ownership::leaseHolds() const { return Mine_ && Time_.now() < LeaseEnds_; }
+bool Ownership::leaseHolds() const {
+  return Mine_ && MonotonicClock_.now() < LeaseEnds_;
+}
 
 void Ownership::start() { poll(); }
 
 void Ownership::pollSoon() {
   const milliseconds Pause =
       Mine_ ? Config_.Times.OwnerRenewal : Config_.Times.OwnerPoll;
-  Home_.after(Pause, [this] { poll(); });
+  ControlLoop_.after(Pause, [this] { poll(); });
 }
 
 void Ownership::poll() {
@@ -49,7 +51,7 @@
 }
 
 void Ownership::examine(const TableRow &Row) {
-  const TimePoint Now = Time_.now();
+  const TimePoint Now = MonotonicClock_.now();
   // While the row can't be read, its owner can't renew it either, or renews it
   // unseen: that time doesn't count.
   const bool Blind = Now - ReadAt_ > Config_.Times.OwnerLease / 2;
@@ -85,7 +87,7 @@
 void Ownership::take(const TableRow &Row) {
   const bool Inherited = Row.Version != 0;
   const std::int64_t Epoch = Owner_.Epoch + 1;
-  const TimePoint SentAt = Time_.now();
+  const TimePoint SentAt = MonotonicClock_.now();
   Transaction Change;
   Change.WriteId = randomId();
   Change.Checks = {{Row.Key, Row.Version}};
@@ -117,7 +119,7 @@
 }
 
 void Ownership::renew() {
-  const TimePoint SentAt = Time_.now();
+  const TimePoint SentAt = MonotonicClock_.now();
   Transaction Change;
   Change.WriteId = randomId();
   Change.Checks = {{ownerKey(), RowVersion_}};
@@ -156,7 +158,7 @@
 }
 
 void Ownership::takeWithoutTable() {
-  if (Mine_ || Released_ || Time_.now() < NotBefore_)
+  if (Mine_ || Released_ || MonotonicClock_.now() < NotBefore_)
     return;
   RowVersion_ = 0;
   EpochRow_ = 0;
--- a/packages/daemon/src/ShareKeeper.cpp
+++ b/packages/daemon/src/ShareKeeper.cpp
@@ -17,9 +17,10 @@
 
 } // namespace
 
-ShareKeeper::ShareKeeper(Table &Rows, Loop &Home, ShareScope Scope,
+ShareKeeper::ShareKeeper(Table &Rows, Loop &ControlLoop, ShareScope Scope,
                          const ShareUse &Use)
-    : Rows_(Rows), Home_(Home), Scope_(std::move(Scope)), Use_(Use) {}
+    : Rows_(Rows), ControlLoop_(ControlLoop), Scope_(std::move(Scope)),
+      Use_(Use) {}
 
 std::string ShareKeeper::rowKey(const std::string &Customer) const {
   return RowPrefix + Customer;
@@ -89,7 +90,7 @@
       return;
     if (Head && Head->Version != Self->Head_)
       Self->reload(Head->Version);
-    Self->Home_.after(PollInterval, [Self] { Self->poll(); });
+    Self->ControlLoop_.after(PollInterval, [Self] { Self->poll(); });
   });
 }
 
@@ -119,7 +120,8 @@
     return;
   if (Loaded_)
     reviewAll();
-  Home_.after(ReviewInterval, [Self = shared_from_this()] { Self->review(); });
+  ControlLoop_.after(ReviewInterval,
+                     [Self = shared_from_this()] { Self->review(); });
 }
 
 void ShareKeeper::reviewAll() {
