--- a/packages/daemon/include/cuminroad/daemon/Admission.h
+++ b/packages/daemon/include/cuminroad/daemon/AdmissionController.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_ADMISSION_H
-#define CUMINROAD_DAEMON_ADMISSION_H
+#ifndef CUMINROAD_DAEMON_ADMISSIONCONTROLLER_H
+#define CUMINROAD_DAEMON_ADMISSIONCONTROLLER_H
 
 #include <cstdint>
 #include <map>
@@ -39,9 +39,9 @@
 /// Invariant: requests in flight on a VM, and for a customer, never exceed the
 /// caps of a grant whose lease has not lapsed, but for requests that were in
 /// flight when a cap was lowered.
-class Admission {
+class AdmissionController {
 public:
-  explicit Admission(const Clock &MonotonicClock);
+  explicit AdmissionController(const Clock &MonotonicClock);
 
   /// Applies an answer to the request sent at \p AskedAt; an answer to any but
   /// the newest request is ignored. The caps can be used for \p Lease from
--- a/packages/daemon/include/cuminroad/daemon/ConfigKeeper.h
+++ b/packages/daemon/include/cuminroad/daemon/ConfigManager.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_CONFIGKEEPER_H
-#define CUMINROAD_DAEMON_CONFIGKEEPER_H
+#ifndef CUMINROAD_DAEMON_CONFIGMANAGER_H
+#define CUMINROAD_DAEMON_CONFIGMANAGER_H
 
 #include <functional>
 #include <map>
@@ -10,9 +10,9 @@
 #include "cuminroad/base/EventLog.h"
 #include "cuminroad/contract/ContractRecord.h"
 #include "cuminroad/contract/Settings.h"
-#include "cuminroad/daemon/ContractBook.h"
+#include "cuminroad/daemon/ContractRegistry.h"
 #include "cuminroad/daemon/Identity.h"
-#include "cuminroad/daemon/MemberBook.h"
+#include "cuminroad/daemon/MemberRegistry.h"
 #include "cuminroad/net/Loop.h"
 #include "cuminroad/store/Table.h"
 
@@ -59,13 +59,13 @@
 /// daemon is a member from before it serves until its VM is finally gone, so no
 /// daemon that serves can have missed an accepted change; and an accepted row
 /// is only ever replaced by the next change.
-class ConfigKeeper {
+class ConfigManager {
 public:
   using ChangeDone = std::function<void(Result<ChangeResult>)>;
 
-  ConfigKeeper(Table &Rows, Loop &ControlLoop, const Clock &MonotonicClock,
-               EventLog &Events, const Settings &Config, const Identity &Self,
-               ContractBook &Contracts, MemberBook &Members);
+  ConfigManager(Table &Rows, Loop &ControlLoop, const Clock &MonotonicClock,
+                EventLog &Events, const Settings &Config, const Identity &Self,
+                ContractRegistry &Contracts, MemberRegistry &Members);
 
   /// Registers this daemon and begins to follow the configuration.
   void start();
@@ -82,7 +82,7 @@
   const std::map<std::string, KeptContract> &contracts() const {
     return Contracts_;
   }
-  const MemberBook &members() const { return MemberBook_; }
+  const MemberRegistry &members() const { return MemberBook_; }
   /// \returns the version of the configuration that this daemon applies.
   std::int64_t appliedVersion() const { return Applied_; }
   /// Called after each change of terms or members.
@@ -122,8 +122,8 @@
   EventLog &Events_;
   const Settings &Config_;
   Identity Self_;
-  ContractBook &Book_;
-  MemberBook &MemberBook_;
+  ContractRegistry &Book_;
+  MemberRegistry &MemberBook_;
   std::map<std::string, KeptContract> Contracts_;
   std::int64_t SelfVersion_ = 0;
   std::int64_t Acked_ = 0;
--- a/packages/daemon/include/cuminroad/daemon/ContractBook.h
+++ b/packages/daemon/include/cuminroad/daemon/ContractRegistry.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_CONTRACTBOOK_H
-#define CUMINROAD_DAEMON_CONTRACTBOOK_H
+#ifndef CUMINROAD_DAEMON_CONTRACTREGISTRY_H
+#define CUMINROAD_DAEMON_CONTRACTREGISTRY_H
 
 #include <atomic>
 #include <map>
@@ -15,7 +15,7 @@
 using ContractTermsByCustomer = std::map<std::string, ContractTerms>;
 
 /// Hands the terms in force from the control thread to the traffic threads.
-class ContractBook {
+class ContractRegistry {
 public:
   /// Replaces all terms at once.
   void publish(ContractTermsByCustomer Terms) {
--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -10,11 +10,11 @@
 
 #include "cuminroad/base/EventLog.h"
 #include "cuminroad/contract/Settings.h"
-#include "cuminroad/daemon/ConfigKeeper.h"
-#include "cuminroad/daemon/GrantBook.h"
+#include "cuminroad/daemon/ConfigManager.h"
+#include "cuminroad/daemon/GrantAllocator.h"
 #include "cuminroad/daemon/Identity.h"
 #include "cuminroad/daemon/JobStore.h"
-#include "cuminroad/daemon/ShareKeeper.h"
+#include "cuminroad/daemon/ShareManager.h"
 #include "cuminroad/daemon/VmSession.h"
 #include "cuminroad/net/HttpClient.h"
 #include "cuminroad/net/Loop.h"
@@ -34,7 +34,7 @@
   /// Resolves lost replies without giving up.
   Table &Rows;
   VmList &List;
-  const ConfigKeeper &Contracts;
+  const ConfigManager &Contracts;
   /// The VMs as last listed; used where the platform can't be reached.
   VmListing LastListing;
 };
@@ -146,9 +146,9 @@
   OwnerContext Context_;
   OwnerTerm Term_;
   std::unique_ptr<Scheduler> Scheduler_;
-  GrantBook Grants_;
+  GrantAllocator Grants_;
   std::shared_ptr<JobStore> Jobs_;
-  std::shared_ptr<ShareKeeper> Shares_;
+  std::shared_ptr<ShareManager> Shares_;
   std::map<std::string, KnownVm> Vms_;
   std::int64_t VmTable_ = 0;
   bool ListRead_ = false;
--- a/packages/daemon/include/cuminroad/daemon/FrontDoor.h
+++ b/packages/daemon/include/cuminroad/daemon/FrontDoor.h
@@ -12,12 +12,12 @@
 
 #include "cuminroad/base/EventLog.h"
 #include "cuminroad/contract/Settings.h"
-#include "cuminroad/daemon/Admission.h"
-#include "cuminroad/daemon/ContractBook.h"
+#include "cuminroad/daemon/AdmissionController.h"
+#include "cuminroad/daemon/ContractRegistry.h"
 #include "cuminroad/daemon/HttpReplies.h"
 #include "cuminroad/daemon/Identity.h"
 #include "cuminroad/daemon/KeyClaims.h"
-#include "cuminroad/daemon/MemberBook.h"
+#include "cuminroad/daemon/MemberRegistry.h"
 #include "cuminroad/daemon/OnceBook.h"
 #include "cuminroad/daemon/RetryBudget.h"
 #include "cuminroad/net/HttpClient.h"
@@ -34,8 +34,8 @@
   EventLog &Events;
   Loop &Control;
   HttpClient &Client;
-  const ContractBook &Contracts;
-  const MemberBook &Members;
+  const ContractRegistry &Contracts;
+  const MemberRegistry &Members;
   KeyClaims &Claims;
 };
 
@@ -107,7 +107,7 @@
   FrontDoorContext Context_;
   std::function<void()> AskOwner_;
   mutable std::mutex Mutex_;
-  Admission Admission_;
+  AdmissionController Admission_;
   OnceBook Once_;
   RetryBudget Budget_;
   std::minstd_rand Random_;
--- a/packages/daemon/include/cuminroad/daemon/GrantBook.h
+++ b/packages/daemon/include/cuminroad/daemon/GrantAllocator.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_GRANTBOOK_H
-#define CUMINROAD_DAEMON_GRANTBOOK_H
+#ifndef CUMINROAD_DAEMON_GRANTALLOCATOR_H
+#define CUMINROAD_DAEMON_GRANTALLOCATOR_H
 
 #include <map>
 #include <set>
@@ -34,13 +34,13 @@
 /// a VM's slots or the customer's share. A cap counts from the moment it is
 /// granted until the front door reports a smaller one, or has been silent for
 /// so long that its grants have lapsed and its requests have ended.
-class GrantBook {
+class GrantAllocator {
 public:
   /// \param Inherited whether an earlier owner may have given grants that this
   /// book does not know of. Until the settling time has passed, nobody then
   /// gets more than what front doors report and give back.
-  GrantBook(const Clock &MonotonicClock, const GrantTimes &Times,
-            bool Inherited);
+  GrantAllocator(const Clock &MonotonicClock, const GrantTimes &Times,
+                 bool Inherited);
 
   /// Sets the names of the domain's daemons. An even part of each customer's
   /// share is kept for each one that is silent: it may be cut off together
--- a/packages/daemon/include/cuminroad/daemon/MemberBook.h
+++ b/packages/daemon/include/cuminroad/daemon/MemberRegistry.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_MEMBERBOOK_H
-#define CUMINROAD_DAEMON_MEMBERBOOK_H
+#ifndef CUMINROAD_DAEMON_MEMBERREGISTRY_H
+#define CUMINROAD_DAEMON_MEMBERREGISTRY_H
 
 #include <map>
 #include <mutex>
@@ -13,7 +13,7 @@
 
 /// The daemons that are members, as last read from the table. Written on the
 /// control thread, read on any.
-class MemberBook {
+class MemberRegistry {
 public:
   void publish(std::map<std::string, Identity> Members) {
     const std::lock_guard Lock(Mutex_);
--- a/packages/daemon/include/cuminroad/daemon/ShareKeeper.h
+++ b/packages/daemon/include/cuminroad/daemon/ShareManager.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_SHAREKEEPER_H
-#define CUMINROAD_DAEMON_SHAREKEEPER_H
+#ifndef CUMINROAD_DAEMON_SHAREMANAGER_H
+#define CUMINROAD_DAEMON_SHAREMANAGER_H
 
 #include <functional>
 #include <map>
@@ -45,10 +45,10 @@
 /// until nothing uses the difference any more, and then moves it in one
 /// transaction. So the parts in use never add up to more than the contract,
 /// whoever is cut off. Runs on the control thread.
-class ShareKeeper : public std::enable_shared_from_this<ShareKeeper> {
+class ShareManager : public std::enable_shared_from_this<ShareManager> {
 public:
-  ShareKeeper(Table &Rows, Loop &ControlLoop, ShareScope Scope,
-              const ShareUse &Use);
+  ShareManager(Table &Rows, Loop &ControlLoop, ShareScope Scope,
+               const ShareUse &Use);
 
   void start();
   void close() { Closed_ = true; }
--- a/packages/daemon/src/Admission.cpp
+++ b/packages/daemon/src/AdmissionController.cpp
@@ -1,4 +1,4 @@
-#include "cuminroad/daemon/Admission.h"
+#include "cuminroad/daemon/AdmissionController.h"
 
 #include <algorithm>
 
@@ -18,15 +18,15 @@
 
 } // namespace
 
-Admission::Admission(const Clock &MonotonicClock)
+AdmissionController::AdmissionController(const Clock &MonotonicClock)
     : MonotonicClock_(MonotonicClock) {}
 
-bool Admission::leaseHolds() const {
+bool AdmissionController::leaseHolds() const {
   return MonotonicClock_.now() < ValidUntil_;
 }
 
-void Admission::apply(const GrantReply &Reply, TimePoint AskedAt,
-                      milliseconds Lease, milliseconds Keep) {
+void AdmissionController::apply(const GrantReply &Reply, TimePoint AskedAt,
+                                milliseconds Lease, milliseconds Keep) {
   if (Reply.Seq != Seq_)
     return;
   if (Reply.Resend) {
@@ -67,7 +67,7 @@
   });
 }
 
-void Admission::report(GrantRequest &Request) {
+void AdmissionController::report(GrantRequest &Request) {
   Request.Seq = ++Seq_;
   GaveBack_ = false;
   Request.VmTable = VmTable_;
@@ -99,13 +99,13 @@
   Request.CustomerCaps = difference(BasisCustomers_, ReportedCustomers_);
 }
 
-void Admission::markLeaving(const std::string &Vm) {
+void AdmissionController::markLeaving(const std::string &Vm) {
   const auto Found = Vms_.find(Vm);
   if (Found != Vms_.end())
     Found->second.Leaving = true;
 }
 
-int Admission::capOf(const std::string &Service) const {
+int AdmissionController::capOf(const std::string &Service) const {
   int Sum = 0;
   for (const auto &[Id, Vm] : Vms_)
     if (Vm.Service == Service && !Vm.Leaving)
@@ -113,13 +113,13 @@
   return Sum;
 }
 
-bool Admission::knowsService(const std::string &Service) const {
+bool AdmissionController::knowsService(const std::string &Service) const {
   return std::any_of(Vms_.begin(), Vms_.end(), [&](const auto &Entry) {
     return Entry.second.Service == Service;
   });
 }
 
-Result<void> Admission::enqueue(SlotDemand Demand) {
+Result<void> AdmissionController::enqueue(SlotDemand Demand) {
   if (Waiting_.size() >= MaxWaiting)
     return failure(ErrorCode::NoCapacity, "queue");
   int &Ahead = WaitingByService_[Demand.Service];
@@ -138,7 +138,7 @@
   return {};
 }
 
-void Admission::withdraw(std::uint64_t Id) {
+void AdmissionController::withdraw(std::uint64_t Id) {
   const auto Found = Keys_.find(Id);
   if (Found == Keys_.end())
     return;
@@ -148,7 +148,8 @@
   Keys_.erase(Found);
 }
 
-std::optional<std::string> Admission::pickVm(const SlotDemand &Demand) const {
+std::optional<std::string>
+AdmissionController::pickVm(const SlotDemand &Demand) const {
   std::optional<std::string> Best;
   int BestFree = 0;
   for (const bool Avoiding : {true, false}) {
@@ -168,7 +169,7 @@
   return Best;
 }
 
-std::vector<Slot> Admission::takeReady() {
+std::vector<Slot> AdmissionController::takeReady() {
   std::vector<Slot> Out;
   if (!leaseHolds())
     return Out;
@@ -198,7 +199,8 @@
   return Out;
 }
 
-std::vector<std::pair<std::uint64_t, ErrorCode>> Admission::takeLate() {
+std::vector<std::pair<std::uint64_t, ErrorCode>>
+AdmissionController::takeLate() {
   std::vector<std::pair<std::uint64_t, ErrorCode>> Out;
   const TimePoint Now = MonotonicClock_.now();
   for (const auto &[Key, Demand] : Waiting_) {
@@ -218,7 +220,7 @@
   return Out;
 }
 
-void Admission::giveBack(const Slot &Held, milliseconds Time) {
+void AdmissionController::giveBack(const Slot &Held, milliseconds Time) {
   if (const auto Vm = Vms_.find(Held.Vm); Vm != Vms_.end()) {
     // In use beyond a lowered cap: only now does the slot go back.
     GaveBack_ = GaveBack_ || Vm->second.Busy > Vm->second.Cap;
@@ -233,7 +235,7 @@
   }
 }
 
-int Admission::busyOn(const std::string &Vm) const {
+int AdmissionController::busyOn(const std::string &Vm) const {
   const auto Found = Vms_.find(Vm);
   return Found == Vms_.end() ? 0 : Found->second.Busy;
 }
--- a/packages/daemon/src/ConfigKeeper.cpp
+++ b/packages/daemon/src/ConfigManager.cpp
@@ -1,4 +1,4 @@
-#include "cuminroad/daemon/ConfigKeeper.h"
+#include "cuminroad/daemon/ConfigManager.h"
 
 #include <algorithm>
 #include <set>
@@ -37,19 +37,20 @@
 
 } // namespace
 
-ConfigKeeper::ConfigKeeper(Table &Rows, Loop &ControlLoop,
-                           const Clock &MonotonicClock, EventLog &Events,
-                           const Settings &Config, const Identity &Self,
-                           ContractBook &Contracts, MemberBook &Members)
+ConfigManager::ConfigManager(Table &Rows, Loop &ControlLoop,
+                             const Clock &MonotonicClock, EventLog &Events,
+                             const Settings &Config, const Identity &Self,
+                             ContractRegistry &Contracts,
+                             MemberRegistry &Members)
     : Rows_(Rows), ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
       Events_(Events), Config_(Config), Self_(Self), Book_(Contracts),
       MemberBook_(Members) {}
 
-RowWrite ConfigKeeper::headWrite(const std::string &Reason) {
+RowWrite ConfigManager::headWrite(const std::string &Reason) {
   return RowWrite{HeadKey, {{"reason", Reason}}};
 }
 
-nlohmann::json ConfigKeeper::memberValue(std::int64_t Acked) const {
+nlohmann::json ConfigManager::memberValue(std::int64_t Acked) const {
   return {{"incarnation", Self_.Incarnation},
           {"domain", Self_.Domain},
           {"http", Self_.Http},
@@ -57,13 +58,13 @@
           {"acked", Acked}};
 }
 
-void ConfigKeeper::start() {
+void ConfigManager::start() {
   registerSelf();
   pollRegularly();
   advancePending();
 }
 
-void ConfigKeeper::registerSelf() {
+void ConfigManager::registerSelf() {
   Rows_.read(memberKey(Self_.Name), [this](Result<TableRow> Row) {
     if (!Row) {
       ControlLoop_.after(RetryDelay, [this] { registerSelf(); });
@@ -87,13 +88,13 @@
   });
 }
 
-void ConfigKeeper::pollRegularly() {
+void ConfigManager::pollRegularly() {
   ControlLoop_.after(Config_.Times.ConfigPoll, [this] { pollRegularly(); });
   if (SelfVersion_ != 0 && !Leaving_)
     poll();
 }
 
-void ConfigKeeper::poll() {
+void ConfigManager::poll() {
   if (Polling_) {
     PollAgain_ = true;
     return;
@@ -107,13 +108,13 @@
   });
 }
 
-void ConfigKeeper::finishPoll() {
+void ConfigManager::finishPoll() {
   Polling_ = false;
   if (std::exchange(PollAgain_, false))
     poll();
 }
 
-void ConfigKeeper::reload(std::int64_t Head) {
+void ConfigManager::reload(std::int64_t Head) {
   // The rows are read after the head, so they hold all changes up to it.
   Rows_.scan("contract/", [this, Head](Result<std::vector<TableRow>> Rows) {
     if (!Rows)
@@ -134,7 +135,7 @@
   });
 }
 
-void ConfigKeeper::applyContracts(const std::vector<TableRow> &Rows) {
+void ConfigManager::applyContracts(const std::vector<TableRow> &Rows) {
   std::map<std::string, KeptContract> New;
   for (const TableRow &Row : Rows) {
     auto Record = parseContractRecord(Row.Value);
@@ -158,7 +159,7 @@
   Contracts_ = std::move(New);
 }
 
-void ConfigKeeper::applyMembers(const std::vector<TableRow> &Rows) {
+void ConfigManager::applyMembers(const std::vector<TableRow> &Rows) {
   std::map<std::string, Identity> Members;
   for (const TableRow &Row : Rows) {
     Identity Member = readMember(Row);
@@ -177,7 +178,7 @@
     registerSelf();
 }
 
-void ConfigKeeper::acknowledge(std::int64_t Head) {
+void ConfigManager::acknowledge(std::int64_t Head) {
   Transaction Change;
   Change.WriteId = randomId();
   Change.Checks = {{memberKey(Self_.Name), SelfVersion_}};
@@ -194,7 +195,7 @@
   });
 }
 
-void ConfigKeeper::publish() {
+void ConfigManager::publish() {
   ContractTermsByCustomer Terms;
   for (const auto &[Customer, Kept] : Contracts_)
     if (const auto Effective = Kept.Record.effective())
@@ -204,7 +205,7 @@
     OnChanged();
 }
 
-void ConfigKeeper::propose(ContractChange Change, ChangeDone Done) {
+void ConfigManager::propose(ContractChange Change, ChangeDone Done) {
   Rows_.read(contractKey(Change.Customer),
              [this, Change, Done = std::move(Done)](Result<TableRow> Row) {
                if (!Row)
@@ -214,8 +215,8 @@
              });
 }
 
-void ConfigKeeper::writeProposal(const ContractChange &Change,
-                                 const TableRow &Row, ChangeDone Done) {
+void ConfigManager::writeProposal(const ContractChange &Change,
+                                  const TableRow &Row, ChangeDone Done) {
   ContractRecord Record;
   Record.Customer = Change.Customer;
   if (Row.Version != 0) {
@@ -257,7 +258,7 @@
   });
 }
 
-void ConfigKeeper::advancePending() {
+void ConfigManager::advancePending() {
   ControlLoop_.after(AdvanceInterval, [this] { advancePending(); });
   const bool Due = std::any_of(
       Contracts_.begin(), Contracts_.end(), [this](const auto &Entry) {
@@ -283,7 +284,7 @@
       });
 }
 
-void ConfigKeeper::acceptIfAcknowledged(const std::vector<TableRow> &Members) {
+void ConfigManager::acceptIfAcknowledged(const std::vector<TableRow> &Members) {
   for (const auto &[Customer, Kept] : Contracts_) {
     if (!Kept.Record.Pending || Members.empty())
       continue;
@@ -298,7 +299,7 @@
   }
 }
 
-void ConfigKeeper::accept(const KeptContract &Kept) {
+void ConfigManager::accept(const KeptContract &Kept) {
   ContractRecord Record = Kept.Record;
   const std::string ChangeId = Record.Pending->ChangeId;
   Record.accept();
@@ -316,7 +317,7 @@
                });
 }
 
-void ConfigKeeper::answerWaiting(const std::vector<TableRow> &Members) {
+void ConfigManager::answerWaiting(const std::vector<TableRow> &Members) {
   std::vector<Waiting> Still;
   std::vector<std::pair<ChangeDone, ChangeResult>> Answers;
   for (Waiting &Entry : Waiting_) {
@@ -347,7 +348,7 @@
     Done(std::move(Result));
 }
 
-void ConfigKeeper::leave(std::function<void()> Done) {
+void ConfigManager::leave(std::function<void()> Done) {
   Leaving_ = true;
   Transaction Change;
   Change.WriteId = randomId();
@@ -357,7 +358,7 @@
                [Done = std::move(Done)](Result<CommitOutcome>) { Done(); });
 }
 
-void ConfigKeeper::removeMembers(const std::vector<std::string> &Names) {
+void ConfigManager::removeMembers(const std::vector<std::string> &Names) {
   for (const std::string &Name : Names) {
     if (Name == Self_.Name || !MemberBook_.find(Name))
       continue;
--- a/packages/daemon/src/DaemonParts.h
+++ b/packages/daemon/src/DaemonParts.h
@@ -7,13 +7,13 @@
 #include "cuminroad/base/EventLog.h"
 #include "cuminroad/base/SteadyClock.h"
 #include "cuminroad/contract/Settings.h"
-#include "cuminroad/daemon/ConfigKeeper.h"
-#include "cuminroad/daemon/ContractBook.h"
+#include "cuminroad/daemon/ConfigManager.h"
+#include "cuminroad/daemon/ContractRegistry.h"
 #include "cuminroad/daemon/DomainOwner.h"
 #include "cuminroad/daemon/FrontDoor.h"
 #include "cuminroad/daemon/Identity.h"
 #include "cuminroad/daemon/KeyClaims.h"
-#include "cuminroad/daemon/MemberBook.h"
+#include "cuminroad/daemon/MemberRegistry.h"
 #include "cuminroad/daemon/Ownership.h"
 #include "cuminroad/net/HttpClient.h"
 #include "cuminroad/net/Loop.h"
@@ -43,9 +43,9 @@
   ResolvingTable Rows;
   ResolvingTable EndlessRows;
   std::unique_ptr<VmList> List;
-  ContractBook Contracts;
-  MemberBook Members;
-  ConfigKeeper Keeper;
+  ContractRegistry Contracts;
+  MemberRegistry Members;
+  ConfigManager Keeper;
   Ownership Owners;
   KeyClaims Claims;
   /// Set while this daemon owns its domain.
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -52,7 +52,7 @@
                                        JobStoreScope{Context.Self.Domain,
                                                      Term_.EpochKey,
                                                      Term_.EpochVersion})),
-      Shares_(std::make_shared<ShareKeeper>(
+      Shares_(std::make_shared<ShareManager>(
           Context.Rows, Context.Home,
           ShareScope{Context.Self.Domain, Context.Config.Domains,
                      Term_.EpochKey, Term_.EpochVersion,
--- a/packages/daemon/src/GrantBook.cpp
+++ b/packages/daemon/src/GrantAllocator.cpp
@@ -1,4 +1,4 @@
-#include "cuminroad/daemon/GrantBook.h"
+#include "cuminroad/daemon/GrantAllocator.h"
 
 #include <algorithm>
 #include <functional>
@@ -46,44 +46,44 @@
   return Parts;
 }
 
-int GrantBook::Pool::bound() const {
+int GrantAllocator::Pool::bound() const {
   return std::accumulate(
       Bounds.begin(), Bounds.end(), 0,
       [](int Sum, const auto &Entry) { return Sum + Entry.second; });
 }
 
-int GrantBook::Pool::boundOf(const std::string &Who) const {
+int GrantAllocator::Pool::boundOf(const std::string &Who) const {
   return countOf(Bounds, Who);
 }
 
-GrantBook::GrantBook(const Clock &MonotonicClock, const GrantTimes &Times,
-                     bool Inherited)
+GrantAllocator::GrantAllocator(const Clock &MonotonicClock,
+                               const GrantTimes &Times, bool Inherited)
     : MonotonicClock_(MonotonicClock), Times_(Times),
       SettledAt_(Inherited ? MonotonicClock.now() + Times.Settle
                            : MonotonicClock.now()) {}
 
-void GrantBook::setMembers(std::vector<std::string> Names) {
+void GrantAllocator::setMembers(std::vector<std::string> Names) {
   Members_ = std::move(Names);
 }
 
-bool GrantBook::silent(const std::string &Member) const {
+bool GrantAllocator::silent(const std::string &Member) const {
   return std::none_of(Holders_.begin(), Holders_.end(), [&](const auto &Entry) {
     return Entry.second.Member == Member &&
            MonotonicClock_.now() - Entry.second.HeardAt <= Times_.Lease;
   });
 }
 
-void GrantBook::setVm(const std::string &Vm, const std::string &Service,
-                      int Slots) {
+void GrantAllocator::setVm(const std::string &Vm, const std::string &Service,
+                           int Slots) {
   Vms_[Vm].Service = Service;
   Vms_[Vm].Limit = Slots;
 }
 
-void GrantBook::setCustomer(const std::string &Customer, int Share) {
+void GrantAllocator::setCustomer(const std::string &Customer, int Share) {
   Customers_[Customer].Limit = Share;
 }
 
-void GrantBook::forgetSilent() {
+void GrantAllocator::forgetSilent() {
   const TimePoint Now = MonotonicClock_.now();
   std::erase_if(Holders_, [&](const auto &Entry) {
     if (Now - Entry.second.HeardAt < Times_.Settle)
@@ -96,9 +96,9 @@
   });
 }
 
-void GrantBook::report(std::map<std::string, Pool> &Pools,
-                       const std::string &Who, const Counts &Caps, bool First,
-                       std::set<std::string> &Nudge) {
+void GrantAllocator::report(std::map<std::string, Pool> &Pools,
+                            const std::string &Who, const Counts &Caps,
+                            bool First, std::set<std::string> &Nudge) {
   // The report is what the front door may use: it ignores the answers to all
   // its earlier requests from now on.
   for (auto &[Name, Pool] : Pools) {
@@ -121,7 +121,7 @@
     }
 }
 
-int GrantBook::available(const Pool &Pool, bool ByCustomer) const {
+int GrantAllocator::available(const Pool &Pool, bool ByCustomer) const {
   // Until all is settled, what the reports don't account for may be in use.
   if (!settled())
     return std::min(Pool.Limit, Pool.Reported);
@@ -136,8 +136,8 @@
   return std::max(Limit, 0);
 }
 
-Counts GrantBook::targets(const std::string &Name, const Pool &Pool,
-                          bool ByCustomer) const {
+Counts GrantAllocator::targets(const std::string &Name, const Pool &Pool,
+                               bool ByCustomer) const {
   // Half is split evenly, so that a first request needs no message and each
   // front door has something to go on with under a new owner; half goes where
   // the demand is.
@@ -160,9 +160,9 @@
   return Out;
 }
 
-void GrantBook::decide(std::map<std::string, Pool> &Pools,
-                       const std::string &Who, bool ByCustomer, Counts &Caps,
-                       std::set<std::string> &Nudge) {
+void GrantAllocator::decide(std::map<std::string, Pool> &Pools,
+                            const std::string &Who, bool ByCustomer,
+                            Counts &Caps, std::set<std::string> &Nudge) {
   const Holder &State = Holders_.at(Who);
   for (auto &[Name, Pool] : Pools) {
     const int Demand = ByCustomer ? countOf(State.CustomerDemand, Name)
@@ -186,8 +186,8 @@
   }
 }
 
-int GrantBook::grant(Pool &Pool, const std::string &Who, int Target,
-                     bool ByCustomer) {
+int GrantAllocator::grant(Pool &Pool, const std::string &Who, int Target,
+                          bool ByCustomer) {
   const int Now = Pool.boundOf(Who);
   if (Target <= Now)
     return Target;
@@ -198,7 +198,7 @@
   return Granted;
 }
 
-GrantDecision GrantBook::answer(GrantRequest Request) {
+GrantDecision GrantAllocator::answer(GrantRequest Request) {
   forgetSilent();
   const std::string Who = holderName(Request);
   GrantDecision Out;
@@ -240,17 +240,17 @@
   return Out;
 }
 
-int GrantBook::boundOfVm(const std::string &Vm) const {
+int GrantAllocator::boundOfVm(const std::string &Vm) const {
   const auto Found = Vms_.find(Vm);
   return Found == Vms_.end() ? 0 : Found->second.bound();
 }
 
-int GrantBook::boundOfCustomer(const std::string &Customer) const {
+int GrantAllocator::boundOfCustomer(const std::string &Customer) const {
   const auto Found = Customers_.find(Customer);
   return Found == Customers_.end() ? 0 : Found->second.bound();
 }
 
-int GrantBook::demandOfCustomer(const std::string &Customer) const {
+int GrantAllocator::demandOfCustomer(const std::string &Customer) const {
   int Sum = 0;
   for (const auto &[Name, State] : Holders_)
     if (MonotonicClock_.now() - State.HeardAt <= Times_.Lease)
@@ -258,13 +258,13 @@
   return Sum;
 }
 
-bool GrantBook::certain() const {
+bool GrantAllocator::certain() const {
   return settled() &&
          std::none_of(Members_.begin(), Members_.end(),
                       [this](const std::string &Name) { return silent(Name); });
 }
 
-void GrantBook::settle(const Counts &OnVms, const Counts &OfCustomers) {
+void GrantAllocator::settle(const Counts &OnVms, const Counts &OfCustomers) {
   SettledAt_ = MonotonicClock_.now();
   // They end within the settling time, when a silent holder is forgotten.
   Holders_[UnheardName].HeardAt = MonotonicClock_.now() - Times_.Lease;
@@ -274,7 +274,7 @@
     Customers_[Customer].Bounds[UnheardName] = Count;
 }
 
-std::vector<std::string> GrantBook::holders() const {
+std::vector<std::string> GrantAllocator::holders() const {
   std::vector<std::string> Out;
   for (const auto &[Name, State] : Holders_)
     Out.push_back(Name);
--- a/packages/daemon/src/ShareKeeper.cpp
+++ b/packages/daemon/src/ShareManager.cpp
@@ -1,4 +1,4 @@
-#include "cuminroad/daemon/ShareKeeper.h"
+#include "cuminroad/daemon/ShareManager.h"
 
 #include <algorithm>
 
@@ -17,16 +17,16 @@
 
 } // namespace
 
-ShareKeeper::ShareKeeper(Table &Rows, Loop &ControlLoop, ShareScope Scope,
-                         const ShareUse &Use)
+ShareManager::ShareManager(Table &Rows, Loop &ControlLoop, ShareScope Scope,
+                           const ShareUse &Use)
     : Rows_(Rows), ControlLoop_(ControlLoop), Scope_(std::move(Scope)),
       Use_(Use) {}
 
-std::string ShareKeeper::rowKey(const std::string &Customer) const {
+std::string ShareManager::rowKey(const std::string &Customer) const {
   return RowPrefix + Customer;
 }
 
-void ShareKeeper::start() {
+void ShareManager::start() {
   // An owner that was chosen without the table has what no domain gives away.
   if (!Scope_.ByTable)
     return;
@@ -34,12 +34,13 @@
   review();
 }
 
-void ShareKeeper::setContracts(std::map<std::string, ContractTerms> Contracts) {
+void ShareManager::setContracts(
+    std::map<std::string, ContractTerms> Contracts) {
   Contracts_ = std::move(Contracts);
 }
 
-ContractTerms ShareKeeper::share(const std::string &Customer,
-                                 const ContractTerms &Terms) const {
+ContractTerms ShareManager::share(const std::string &Customer,
+                                  const ContractTerms &Terms) const {
   const auto Found = Kept_.find(Customer);
   const ShareRow Row = Found == Kept_.end()
                            ? evenShares(Terms, Customer, Scope_.Domains)
@@ -69,8 +70,8 @@
   return Out;
 }
 
-ContractTerms ShareKeeper::largestShare(const std::string &Customer,
-                                        const ContractTerms &Terms) const {
+ContractTerms ShareManager::largestShare(const std::string &Customer,
+                                         const ContractTerms &Terms) const {
   ContractTerms Out = Terms;
   for (const std::string &Domain : Scope_.Domains) {
     if (Domain == Scope_.Domain)
@@ -82,7 +83,7 @@
   return Out;
 }
 
-void ShareKeeper::poll() {
+void ShareManager::poll() {
   if (Closed_)
     return;
   Rows_.read(HeadKey, [Self = shared_from_this()](Result<TableRow> Head) {
@@ -94,7 +95,7 @@
   });
 }
 
-void ShareKeeper::reload(std::int64_t Head) {
+void ShareManager::reload(std::int64_t Head) {
   Rows_.scan(RowPrefix, [Self = shared_from_this(),
                          Head](Result<std::vector<TableRow>> Rows) {
     if (Self->Closed_ || !Rows)
@@ -115,7 +116,7 @@
   });
 }
 
-void ShareKeeper::review() {
+void ShareManager::review() {
   if (Closed_)
     return;
   if (Loaded_)
@@ -124,7 +125,7 @@
                      [Self = shared_from_this()] { Self->review(); });
 }
 
-void ShareKeeper::reviewAll() {
+void ShareManager::reviewAll() {
   // Begins behind the customer that was written last, so that each has a turn.
   auto Next = Contracts_.upper_bound(Cursor_);
   for (std::size_t Left = Contracts_.size(); Left > 0 && !Writing_; --Left) {
@@ -135,8 +136,8 @@
   }
 }
 
-void ShareKeeper::reviewOne(const std::string &Customer,
-                            const ContractTerms &Terms) {
+void ShareManager::reviewOne(const std::string &Customer,
+                             const ContractTerms &Terms) {
   if (Gifts_.contains(Customer))
     return deliver(Customer, Terms);
   const ShareAmount Demand = Use_.demand(Customer);
@@ -153,9 +154,9 @@
     offer(Customer, Terms, Use_.bound(Customer));
 }
 
-bool ShareKeeper::wantMore(const std::string &Customer,
-                           const ContractTerms &Terms,
-                           const ShareAmount &Lack) {
+bool ShareManager::wantMore(const std::string &Customer,
+                            const ContractTerms &Terms,
+                            const ShareAmount &Lack) {
   Kept Known;
   if (const auto Found = Kept_.find(Customer); Found != Kept_.end())
     Known = Kept{scaledTo(Found->second.Row, Terms, Customer, Scope_.Domains),
@@ -172,8 +173,9 @@
   return true;
 }
 
-void ShareKeeper::offer(const std::string &Customer, const ContractTerms &Terms,
-                        const ShareAmount &Demand) {
+void ShareManager::offer(const std::string &Customer,
+                         const ContractTerms &Terms,
+                         const ShareAmount &Demand) {
   const auto Found = Kept_.find(Customer);
   if (Found == Kept_.end() || !Use_.certain())
     return;
@@ -203,8 +205,8 @@
     OnChanged();
 }
 
-void ShareKeeper::deliver(const std::string &Customer,
-                          const ContractTerms &Terms) {
+void ShareManager::deliver(const std::string &Customer,
+                           const ContractTerms &Terms) {
   const Gift Given = Gifts_.at(Customer);
   const ShareAmount Left = limitOf(share(Customer, Terms));
   const ShareAmount Bound = Use_.bound(Customer);
@@ -234,8 +236,8 @@
   });
 }
 
-void ShareKeeper::write(const std::string &Customer, ShareRow Row,
-                        std::int64_t Version, std::function<void()> Done) {
+void ShareManager::write(const std::string &Customer, ShareRow Row,
+                         std::int64_t Version, std::function<void()> Done) {
   Writing_ = true;
   Cursor_ = Customer;
   Transaction Change;
--- a/packages/daemon/tests/GrantTest.cpp
+++ b/packages/daemon/tests/GrantTest.cpp
@@ -10,8 +10,8 @@
 #include <rapidcheck.h>
 
 #include "cuminroad/base/ManualClock.h"
-#include "cuminroad/daemon/Admission.h"
-#include "cuminroad/daemon/GrantBook.h"
+#include "cuminroad/daemon/AdmissionController.h"
+#include "cuminroad/daemon/GrantAllocator.h"
 
 using namespace cuminroad;
 
@@ -37,7 +37,7 @@
 /// A front door that takes what it gets and holds it for a while.
 struct Door {
   std::string Name;
-  Admission Book;
+  AdmissionController Book;
   TimePoint AskedAt{};
   std::int64_t AskedSeq = 0;
   std::deque<std::pair<Slot, TimePoint>> Held;
@@ -49,7 +49,7 @@
 
 struct Network {
   ManualClock Time;
-  std::unique_ptr<GrantBook> Owner;
+  std::unique_ptr<GrantAllocator> Owner;
   std::vector<Door> Members;
   std::vector<GrantRequest> Requests;
   std::vector<std::pair<int, GrantReply>> Replies;
@@ -65,8 +65,8 @@
   }
 
   void startOwner(bool Inherited) {
-    Owner =
-        std::make_unique<GrantBook>(Time, GrantTimes{Lease, Settle}, Inherited);
+    Owner = std::make_unique<GrantAllocator>(Time, GrantTimes{Lease, Settle},
+                                             Inherited);
     std::vector<std::string> Names;
     for (const Door &Each : Members)
       Names.push_back(Each.Name);
@@ -237,7 +237,7 @@
 
 BOOST_AUTO_TEST_CASE(silentDoorsSlotsComeBackAfterItsRequestsEnded) {
   ManualClock Time;
-  GrantBook Owner(Time, GrantTimes{Lease, Settle}, false);
+  GrantAllocator Owner(Time, GrantTimes{Lease, Settle}, false);
   Owner.setVm("vm0", "s", Slots);
   GrantRequest Request;
   Request.From = "door0";
@@ -254,7 +254,7 @@
 
 BOOST_AUTO_TEST_CASE(idleHolderIsNudgedAndThenTheOneThatLacks) {
   ManualClock Time;
-  GrantBook Owner(Time, GrantTimes{Lease, Settle}, false);
+  GrantAllocator Owner(Time, GrantTimes{Lease, Settle}, false);
   Owner.setCustomer("c", 4);
   const auto Ask = [&](const char *From, std::int64_t Seq, int Cap,
                        int Demand) {
--- a/packages/daemon/tests/ShareTest.cpp
+++ b/packages/daemon/tests/ShareTest.cpp
@@ -12,7 +12,7 @@
 #include <rapidcheck.h>
 
 #include "cuminroad/daemon/DomainShare.h"
-#include "cuminroad/daemon/ShareKeeper.h"
+#include "cuminroad/daemon/ShareManager.h"
 
 using namespace cuminroad;
 
@@ -92,7 +92,7 @@
 struct Site final : ShareUse {
   ShareAmount Wanted;
   ShareAmount Used;
-  std::shared_ptr<ShareKeeper> Keeper;
+  std::shared_ptr<ShareManager> Keeper;
   ContractTerms Terms;
 
   ShareAmount demand(const std::string &) const override {
@@ -137,7 +137,7 @@
       Of.Keeper->close();
     else
       Of.Terms = makeTerms(3000, 9);
-    Of.Keeper = std::make_shared<ShareKeeper>(
+    Of.Keeper = std::make_shared<ShareManager>(
         Rows, Home, ShareScope{Domain, Domains, "epoch", 0}, Of);
     Of.Keeper->setContracts({{Customer, Of.Terms}});
     Of.Keeper->start();
