--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -134,8 +134,8 @@
   struct UnheardRequests {
     std::size_t Open = 0;
     bool Complete = true;
-    Counts OnVms;
-    Counts OfCustomers;
+    CountByName OnVms;
+    CountByName OfCustomers;
   };
   void settleEarly();
   void countUnheard(const std::string &Vm,
--- a/packages/daemon/include/cuminroad/daemon/GrantMessages.h
+++ b/packages/daemon/include/cuminroad/daemon/GrantMessages.h
@@ -14,15 +14,15 @@
 namespace cuminroad {
 
 /// Counts by VM, customer or service. Entries of 0 may be left out.
-using Counts = std::map<std::string, int>;
+using CountByName = std::map<std::string, int>;
 
 /// \returns the count of \p Name, 0 where there is none.
-int countOf(const Counts &Values, const std::string &Name);
+int countOf(const CountByName &Values, const std::string &Name);
 /// \returns the entries of \p To that differ from \p From; 0 for those that it
 /// has no more.
-Counts difference(const Counts &From, const Counts &To);
+CountByName difference(const CountByName &From, const CountByName &To);
 /// \returns \p Base changed by what difference() gave.
-Counts overlay(Counts Base, const Counts &Changes);
+CountByName overlay(CountByName Base, const CountByName &Changes);
 
 /// A front door tells its domain's owner what it may use at present and what it
 /// wants. It is also the front door's heartbeat.
@@ -33,15 +33,15 @@
   /// Rises with each request; an answer to an earlier one is not applied.
   std::int64_t Seq = 0;
   /// The version of the VM table that the front door has.
-  std::int64_t VmTable = 0;
+  std::int64_t VmTableVersion = 0;
   /// Requests in flight that the front door may have, by VM and by customer.
   /// Where Basis is not 0, only what differs from the answer to that request.
-  Counts VmCaps;
-  Counts CustomerCaps;
-  std::int64_t Basis = 0;
+  CountByName VmCaps;
+  CountByName CustomerCaps;
+  std::int64_t BaseSeq = 0;
   /// Requests in flight and waiting, by service and by customer.
-  Counts ServiceDemand;
-  Counts CustomerDemand;
+  CountByName ServiceDemand;
+  CountByName CustomerDemand;
   /// VMs that refused work because they are leaving.
   std::vector<std::string> Leaving;
   /// Where the answer goes, "address:port".
@@ -63,11 +63,11 @@
   /// Seq of the request that is answered.
   std::int64_t Seq = 0;
   /// The owner does not know the request's basis: it wants all caps.
-  bool Resend = false;
+  bool SendFullCaps = false;
   /// What differs from the caps that the request reported.
-  Counts VmCaps;
-  Counts CustomerCaps;
-  std::int64_t VmTable = 0;
+  CountByName VmCaps;
+  CountByName CustomerCaps;
+  std::int64_t VmTableVersion = 0;
   /// All VMs; only where the front door has another version of the table.
   std::optional<std::vector<GrantVm>> Vms;
   std::uint64_t Stamp = 0;
--- a/packages/daemon/src/AdmissionController.cpp
+++ b/packages/daemon/src/AdmissionController.cpp
@@ -11,7 +11,7 @@
 /// Requests that may wait in one front door.
 constexpr std::size_t MaxWaiting = 20000;
 
-void addCount(Counts &Values, const std::string &Name, int Count) {
+void addCount(CountByName &Values, const std::string &Name, int Count) {
   if (Count > 0)
     Values[Name] += Count;
 }
@@ -21,82 +21,84 @@
 AdmissionController::AdmissionController(const Clock &MonotonicClock)
     : MonotonicClock_(MonotonicClock) {}
 
-bool AdmissionController::leaseHolds() const {
-  return MonotonicClock_.now() < ValidUntil_;
+bool AdmissionController::isLeaseValid() const {
+  return MonotonicClock_.now() < LeaseEndsAt_;
 }
 
-void AdmissionController::apply(const GrantReply &Reply, TimePoint AskedAt,
-                                milliseconds Lease, milliseconds Keep) {
-  if (Reply.Seq != Seq_)
+void AdmissionController::applyReply(const GrantReply &Reply,
+                                     TimePoint RequestedAt, milliseconds Lease,
+                                     milliseconds ReserveTime) {
+  if (Reply.Seq != RequestSeq_)
     return;
-  if (Reply.Resend) {
-    SendAll_ = true;
+  if (Reply.SendFullCaps) {
+    SendFullCaps_ = true;
     return;
   }
-  BasisSeq_ = Reply.Seq;
-  BasisVms_ = overlay(ReportedVms_, Reply.VmCaps);
-  BasisCustomers_ = overlay(ReportedCustomers_, Reply.CustomerCaps);
-  ValidUntil_ = AskedAt + Lease;
-  KeptUntil_ = ValidUntil_ + Keep;
+  BaseSeq_ = Reply.Seq;
+  BaseVmCaps_ = overlay(ReportedVmCaps_, Reply.VmCaps);
+  BaseCustomerCaps_ = overlay(ReportedCustomerCaps_, Reply.CustomerCaps);
+  LeaseEndsAt_ = RequestedAt + Lease;
+  ReservedUntil_ = LeaseEndsAt_ + ReserveTime;
   if (Reply.Vms) {
-    VmTable_ = Reply.VmTable;
-    std::set<std::string> Listed;
+    VmTableVersion_ = Reply.VmTableVersion;
+    std::set<std::string> ListedIds;
     for (const GrantVm &Vm : *Reply.Vms) {
-      Listed.insert(Vm.Id);
+      ListedIds.insert(Vm.Id);
       Vms_[Vm.Id].Service = Vm.Service;
       Vms_[Vm.Id].Url = Vm.Url;
     }
     std::erase_if(Vms_, [&](const auto &Entry) {
-      return !Listed.contains(Entry.first) && Entry.second.Busy == 0;
+      return !ListedIds.contains(Entry.first) && Entry.second.InFlight == 0;
     });
   }
   for (auto &[Id, Vm] : Vms_) {
-    const int Cap = countOf(BasisVms_, Id);
-    GaveBack_ = GaveBack_ || Cap < Vm.Cap;
+    const int Cap = countOf(BaseVmCaps_, Id);
+    CapReleased_ = CapReleased_ || Cap < Vm.Cap;
     Vm.Cap = Cap;
   }
-  for (const auto &[Name, Cap] : BasisCustomers_)
+  for (const auto &[Name, Cap] : BaseCustomerCaps_)
     Customers_.try_emplace(Name);
   for (auto &[Name, Customer] : Customers_) {
-    const int Cap = countOf(BasisCustomers_, Name);
-    GaveBack_ = GaveBack_ || Cap < Customer.Cap;
+    const int Cap = countOf(BaseCustomerCaps_, Name);
+    CapReleased_ = CapReleased_ || Cap < Customer.Cap;
     Customer.Cap = Cap;
   }
   std::erase_if(Customers_, [](const auto &Entry) {
-    return Entry.second.Cap == 0 && Entry.second.Busy == 0;
+    return Entry.second.Cap == 0 && Entry.second.InFlight == 0;
   });
 }
 
-void AdmissionController::report(GrantRequest &Request) {
-  Request.Seq = ++Seq_;
-  GaveBack_ = false;
-  Request.VmTable = VmTable_;
-  const bool Kept = MonotonicClock_.now() < KeptUntil_;
+void AdmissionController::fillRequest(GrantRequest &Request) {
+  Request.Seq = ++RequestSeq_;
+  CapReleased_ = false;
+  Request.VmTableVersion = VmTableVersion_;
+  const bool Reserved = MonotonicClock_.now() < ReservedUntil_;
   for (auto &[Id, Vm] : Vms_) {
-    if (!Kept)
+    if (!Reserved)
       Vm.Cap = 0;
-    addCount(Request.VmCaps, Id, std::max(Vm.Cap, Vm.Busy));
-    addCount(Request.ServiceDemand, Vm.Service, Vm.Busy);
+    addCount(Request.VmCaps, Id, std::max(Vm.Cap, Vm.InFlight));
+    addCount(Request.ServiceDemand, Vm.Service, Vm.InFlight);
     if (Vm.Leaving)
       Request.Leaving.push_back(Id);
   }
   for (auto &[Name, Customer] : Customers_) {
-    if (!Kept)
+    if (!Reserved)
       Customer.Cap = 0;
-    addCount(Request.CustomerCaps, Name, std::max(Customer.Cap, Customer.Busy));
-    addCount(Request.CustomerDemand, Name, Customer.Busy);
+    addCount(Request.CustomerCaps, Name,
+             std::max(Customer.Cap, Customer.InFlight));
+    addCount(Request.CustomerDemand, Name, Customer.InFlight);
   }
-  for (const auto &[Key, Demand] : Waiting_) {
-    addCount(Request.ServiceDemand, Demand.Service, 1);
-    addCount(Request.CustomerDemand, Demand.Customer, 1);
+  for (const auto &[Key, Queued] : Waiting_) {
+    addCount(Request.ServiceDemand, Queued.Service, 1);
+    addCount(Request.CustomerDemand, Queued.Customer, 1);
   }
-  ReportedVms_ = Request.VmCaps;
-  ReportedCustomers_ = Request.CustomerCaps;
-  if (std::exchange(SendAll_, false) || BasisSeq_ == 0)
+  ReportedVmCaps_ = Request.VmCaps;
+  ReportedCustomerCaps_ = Request.CustomerCaps;
+  if (std::exchange(SendFullCaps_, false) || BaseSeq_ == 0)
     return;
-  Request.Basis = BasisSeq_;
-  Request.VmCaps = difference(BasisVms_, ReportedVms_);
-  Request.CustomerCaps = difference(BasisCustomers_, ReportedCustomers_);
+  Request.BaseSeq = BaseSeq_;
+  Request.VmCaps = difference(BaseVmCaps_, ReportedVmCaps_);
+  Request.CustomerCaps = difference(BaseCustomerCaps_, ReportedCustomerCaps_);
 }
 
 void AdmissionController::markLeaving(const std::string &Vm) {
@@ -105,7 +107,7 @@
     Found->second.Leaving = true;
 }
 
-int AdmissionController::capOf(const std::string &Service) const {
+int AdmissionController::totalCapOf(const std::string &Service) const {
   int Sum = 0;
   for (const auto &[Id, Vm] : Vms_)
     if (Vm.Service == Service && !Vm.Leaving)
@@ -119,125 +121,130 @@
   });
 }
 
-Result<void> AdmissionController::enqueue(SlotDemand Demand) {
+Result<void> AdmissionController::enqueue(SlotRequest Request) {
   if (Waiting_.size() >= MaxWaiting)
     return failure(ErrorCode::NoCapacity, "queue");
-  int &Ahead = WaitingByService_[Demand.Service];
-  if (Ahead > 0) {
+  int &WaitingAhead = WaitingCountByService_[Request.Service];
+  if (WaitingAhead > 0) {
     // Refusing now is worth more to the caller than a late "not run".
-    const int Cap = std::max(capOf(Demand.Service), 1);
-    const double Wait = HoldTime_[Demand.Service] * Ahead / Cap;
-    const auto Left = Demand.StartBy - MonotonicClock_.now();
-    if (Wait > std::chrono::duration<double, std::milli>(Left).count())
-      return failure(ErrorCode::DeadlineTooClose, Demand.Service);
+    const int Cap = std::max(totalCapOf(Request.Service), 1);
+    const double ExpectedWaitMs =
+        HoldTimeMsByService_[Request.Service] * WaitingAhead / Cap;
+    const auto TimeLeft = Request.StartBy - MonotonicClock_.now();
+    if (ExpectedWaitMs >
+        std::chrono::duration<double, std::milli>(TimeLeft).count())
+      return failure(ErrorCode::DeadlineTooClose, Request.Service);
   }
-  ++Ahead;
-  const QueueKey Key{!Demand.Urgent, Demand.StartBy, Demand.Id};
-  Keys_[Demand.Id] = Key;
-  Waiting_.emplace(Key, std::move(Demand));
+  ++WaitingAhead;
+  const QueueKey Key{!Request.Urgent, Request.StartBy, Request.Id};
+  QueueKeyById_[Request.Id] = Key;
+  Waiting_.emplace(Key, std::move(Request));
   return {};
 }
 
-void AdmissionController::withdraw(std::uint64_t Id) {
-  const auto Found = Keys_.find(Id);
-  if (Found == Keys_.end())
+void AdmissionController::dequeue(std::uint64_t Id) {
+  const auto Found = QueueKeyById_.find(Id);
+  if (Found == QueueKeyById_.end())
     return;
   const auto Entry = Waiting_.find(Found->second);
-  --WaitingByService_[Entry->second.Service];
+  --WaitingCountByService_[Entry->second.Service];
   Waiting_.erase(Entry);
-  Keys_.erase(Found);
+  QueueKeyById_.erase(Found);
 }
 
 std::optional<std::string>
-AdmissionController::pickVm(const SlotDemand &Demand) const {
-  std::optional<std::string> Best;
-  int BestFree = 0;
-  for (const bool Avoiding : {true, false}) {
+AdmissionController::pickVm(const SlotRequest &Request) const {
+  std::optional<std::string> BestVm;
+  int BestFreeSlots = 0;
+  for (const bool AvoidFailed : {true, false}) {
     for (const auto &[Id, Vm] : Vms_) {
-      if (Vm.Service != Demand.Service || Vm.Leaving ||
-          (Avoiding && Demand.Avoid.contains(Id)))
+      if (Vm.Service != Request.Service || Vm.Leaving ||
+          (AvoidFailed && Request.AvoidedVms.contains(Id)))
         continue;
-      const int Free = Vm.Cap - Vm.Busy;
-      if (Free > BestFree) {
-        BestFree = Free;
-        Best = Id;
+      const int FreeSlots = Vm.Cap - Vm.InFlight;
+      if (FreeSlots > BestFreeSlots) {
+        BestFreeSlots = FreeSlots;
+        BestVm = Id;
       }
     }
-    if (Best || Demand.Avoid.empty())
-      return Best;
+    if (BestVm || Request.AvoidedVms.empty())
+      return BestVm;
   }
-  return Best;
+  return BestVm;
 }
 
-std::vector<Slot> AdmissionController::takeReady() {
-  std::vector<Slot> Out;
-  if (!leaseHolds())
-    return Out;
-  std::set<std::string> Full;
+std::vector<Slot> AdmissionController::assignSlots() {
+  std::vector<Slot> Assigned;
+  if (!isLeaseValid())
+    return Assigned;
+  std::set<std::string> ExhaustedServices;
   for (auto Entry = Waiting_.begin(); Entry != Waiting_.end();) {
-    const SlotDemand &Demand = Entry->second;
-    const auto Customer = Customers_.find(Demand.Customer);
+    const SlotRequest &Request = Entry->second;
+    const auto Customer = Customers_.find(Request.Customer);
     const bool Allowed = Customer != Customers_.end() &&
-                         Customer->second.Busy < Customer->second.Cap;
-    if (!Allowed || Full.contains(Demand.Service)) {
+                         Customer->second.InFlight < Customer->second.Cap;
+    if (!Allowed || ExhaustedServices.contains(Request.Service)) {
       ++Entry;
       continue;
     }
-    const auto Vm = pickVm(Demand);
+    const auto Vm = pickVm(Request);
     if (!Vm) {
-      Full.insert(Demand.Service);
+      ExhaustedServices.insert(Request.Service);
       ++Entry;
       continue;
     }
-    ++Vms_[*Vm].Busy;
-    ++Customer->second.Busy;
-    Out.push_back(Slot{Demand.Id, Demand.Customer, *Vm, Vms_[*Vm].Url});
-    --WaitingByService_[Demand.Service];
-    Keys_.erase(Demand.Id);
+    ++Vms_[*Vm].InFlight;
+    ++Customer->second.InFlight;
+    Assigned.push_back(Slot{Request.Id, Request.Customer, *Vm, Vms_[*Vm].Url});
+    --WaitingCountByService_[Request.Service];
+    QueueKeyById_.erase(Request.Id);
     Entry = Waiting_.erase(Entry);
   }
-  return Out;
+  return Assigned;
 }
 
 std::vector<std::pair<std::uint64_t, ErrorCode>>
-AdmissionController::takeLate() {
-  std::vector<std::pair<std::uint64_t, ErrorCode>> Out;
+AdmissionController::dequeueExpired() {
+  std::vector<std::pair<std::uint64_t, ErrorCode>> Expired;
   const TimePoint Now = MonotonicClock_.now();
-  for (const auto &[Key, Demand] : Waiting_) {
+  for (const auto &[Key, Request] : Waiting_) {
     if (std::get<TimePoint>(Key) > Now)
       continue;
     ErrorCode Why = ErrorCode::NoCapacity;
-    const auto Customer = Customers_.find(Demand.Customer);
-    if (!leaseHolds())
+    const auto Customer = Customers_.find(Request.Customer);
+    if (!isLeaseValid())
       Why = ErrorCode::NoOwner;
     else if (Customer == Customers_.end() ||
-             Customer->second.Busy >= Customer->second.Cap)
+             Customer->second.InFlight >= Customer->second.Cap)
       Why = ErrorCode::CustomerLimitReached;
-    Out.emplace_back(Demand.Id, Why);
+    Expired.emplace_back(Request.Id, Why);
   }
-  for (const auto &[Id, Why] : Out)
-    withdraw(Id);
-  return Out;
+  for (const auto &[Id, Why] : Expired)
+    dequeue(Id);
+  return Expired;
 }
 
-void AdmissionController::giveBack(const Slot &Held, milliseconds Time) {
-  if (const auto Vm = Vms_.find(Held.Vm); Vm != Vms_.end()) {
+void AdmissionController::releaseSlot(const Slot &Released,
+                                      milliseconds HoldTime) {
+  if (const auto Vm = Vms_.find(Released.Vm); Vm != Vms_.end()) {
     // In use beyond a lowered cap: only now does the slot go back.
-    GaveBack_ = GaveBack_ || Vm->second.Busy > Vm->second.Cap;
-    --Vm->second.Busy;
-    double &Smoothed = HoldTime_[Vm->second.Service];
-    Smoothed += HoldTimeWeight * (static_cast<double>(Time.count()) - Smoothed);
+    CapReleased_ = CapReleased_ || Vm->second.InFlight > Vm->second.Cap;
+    --Vm->second.InFlight;
+    double &Smoothed = HoldTimeMsByService_[Vm->second.Service];
+    Smoothed +=
+        HoldTimeWeight * (static_cast<double>(HoldTime.count()) - Smoothed);
   }
-  if (const auto Customer = Customers_.find(Held.Customer);
+  if (const auto Customer = Customers_.find(Released.Customer);
       Customer != Customers_.end()) {
-    GaveBack_ = GaveBack_ || Customer->second.Busy > Customer->second.Cap;
-    --Customer->second.Busy;
+    CapReleased_ =
+        CapReleased_ || Customer->second.InFlight > Customer->second.Cap;
+    --Customer->second.InFlight;
   }
 }
 
-int AdmissionController::busyOn(const std::string &Vm) const {
+int AdmissionController::inFlightOn(const std::string &Vm) const {
   const auto Found = Vms_.find(Vm);
-  return Found == Vms_.end() ? 0 : Found->second.Busy;
+  return Found == Vms_.end() ? 0 : Found->second.InFlight;
 }
 
 } // namespace cuminroad
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -37,9 +37,9 @@
          Holder.substr(Slash + 1, IncarnationDigits) + "-";
 }
 
-GrantTimes grantTimes(const Timings &Times) {
-  return GrantTimes{Times.GrantLease,
-                    Times.GrantLease + Times.MaxRequestTime + SettleMargin};
+GrantTimings grantTimes(const Timings &Times) {
+  return GrantTimings{Times.GrantLease,
+                      Times.GrantLease + Times.MaxRequestTime + SettleMargin};
 }
 
 } // namespace
@@ -84,7 +84,7 @@
 }
 
 void DomainOwner::settleEarly() {
-  if (Closed_ || Grants_.settled())
+  if (Closed_ || Grants_.recovered())
     return;
   const auto Round = std::make_shared<UnheardRequests>();
   for (const auto &[Id, Vm] : Vms_)
@@ -100,7 +100,7 @@
           // A VM that is silent keeps the full settling time.
           Round->Complete = Round->Complete && Requests;
           if (--Round->Open == 0 && Round->Complete && !Self->Closed_)
-            Self->Grants_.settle(Round->OnVms, Round->OfCustomers);
+            Self->Grants_.finishRecovery(Round->OnVms, Round->OfCustomers);
         });
   }
 }
@@ -108,7 +108,7 @@
 void DomainOwner::countUnheard(const std::string &Vm,
                                const std::vector<RequestInFlight> &Requests,
                                UnheardRequests &Into) const {
-  const std::vector<std::string> Heard = Grants_.holders();
+  const std::vector<std::string> Heard = Grants_.holderIds();
   for (const RequestInFlight &Each : Requests) {
     const bool Known =
         std::any_of(Heard.begin(), Heard.end(), [&](const std::string &Holder) {
@@ -233,7 +233,7 @@
   for (const Identity &Member :
        Context_.Contracts.members().inDomain(Context_.Self.Domain))
     Names.push_back(Member.Name);
-  Grants_.setMembers(std::move(Names));
+  Grants_.setDaemons(std::move(Names));
   std::map<std::string, ContractTerms> Now;
   for (const auto &[Customer, Kept] : Context_.Contracts.contracts())
     if (const auto Terms = Kept.Record.effective())
@@ -265,11 +265,11 @@
 
 ShareAmount DomainOwner::bound(const std::string &Customer) const {
   return ShareAmount{Scheduler_->held(Customer),
-                     Grants_.boundOfCustomer(Customer)};
+                     Grants_.maxInFlightOfCustomer(Customer)};
 }
 
 bool DomainOwner::certain() const {
-  return Loaded_ && Scheduler_->resolved() && Grants_.certain();
+  return Loaded_ && Scheduler_->resolved() && Grants_.usageFullyKnown();
 }
 
 void DomainOwner::tick() {
@@ -381,15 +381,15 @@
 GrantReply DomainOwner::answerGrants(const GrantRequest &Request) {
   for (const std::string &Vm : Request.Leaving)
     leaving(Vm);
-  GrantDecision Decision = Grants_.answer(Request);
-  if (OnNudge && !Decision.Nudge.empty())
-    OnNudge(Decision.Nudge);
+  GrantDecision Decision = Grants_.handleRequest(Request);
+  if (OnNudge && !Decision.DaemonsToNotify.empty())
+    OnNudge(Decision.DaemonsToNotify);
   GrantReply Reply = std::move(Decision.Reply);
   Reply.Owner = Context_.Self.Name;
   Reply.Epoch = Term_.Epoch;
   // The epoch makes tables of two owners differ.
-  Reply.VmTable = (Term_.Epoch << 32) + VmTable_;
-  if (Request.VmTable != Reply.VmTable) {
+  Reply.VmTableVersion = (Term_.Epoch << 32) + VmTable_;
+  if (Request.VmTableVersion != Reply.VmTableVersion) {
     Reply.Vms.emplace();
     for (const auto &[Id, Vm] : Vms_)
       if (Vm.Listed.State != ListedState::Gone)
--- a/packages/daemon/src/FrontDoor.cpp
+++ b/packages/daemon/src/FrontDoor.cpp
@@ -280,8 +280,8 @@
 }
 
 void FrontDoor::enqueue(OpenPtr Call) {
-  SlotDemand Demand{Call->Id,     Call->Customer, Call->Service,
-                    Call->Urgent, Call->StartBy,  Call->Avoid};
+  SlotRequest Demand{Call->Id,     Call->Customer, Call->Service,
+                     Call->Urgent, Call->StartBy,  Call->Avoid};
   Result<void> Queued;
   {
     const std::lock_guard Lock(Mutex_);
@@ -301,12 +301,12 @@
   bool Ask = false;
   {
     const std::lock_guard Lock(Mutex_);
-    for (Slot &Held : Admission_.takeReady()) {
+    for (Slot &Held : Admission_.assignSlots()) {
       const auto Found = Waiting_.find(Held.Id);
       Ready.emplace_back(std::move(Found->second), std::move(Held));
       Waiting_.erase(Found);
     }
-    Ask = Admission_.shouldReport();
+    Ask = Admission_.shouldSendRequest();
   }
   for (auto &[Call, Held] : Ready)
     send(std::move(Call), std::move(Held));
@@ -352,7 +352,7 @@
       std::chrono::duration_cast<milliseconds>(Context_.Time.now() - SentAt);
   {
     const std::lock_guard Lock(Mutex_);
-    Admission_.giveBack(Held, Time);
+    Admission_.releaseSlot(Held, Time);
   }
   dispatch();
 }
@@ -431,15 +431,16 @@
 
 void FrontDoor::reportGrants(GrantRequest &Request) {
   const std::lock_guard Lock(Mutex_);
-  Admission_.report(Request);
+  Admission_.fillRequest(Request);
   GrantsAskedAt_ = Context_.Time.now();
 }
 
 void FrontDoor::applyGrants(const GrantReply &Reply) {
   {
     const std::lock_guard Lock(Mutex_);
-    Admission_.apply(Reply, GrantsAskedAt_, Context_.Config.Times.GrantLease,
-                     Context_.Config.Times.MaxRequestTime);
+    Admission_.applyReply(Reply, GrantsAskedAt_,
+                          Context_.Config.Times.GrantLease,
+                          Context_.Config.Times.MaxRequestTime);
   }
   dispatch();
 }
@@ -448,7 +449,7 @@
   std::vector<std::pair<OpenPtr, ErrorCode>> Late;
   {
     const std::lock_guard Lock(Mutex_);
-    for (const auto &[Id, Why] : Admission_.takeLate()) {
+    for (const auto &[Id, Why] : Admission_.dequeueExpired()) {
       const auto Found = Waiting_.find(Id);
       Late.emplace_back(std::move(Found->second), Why);
       Waiting_.erase(Found);
--- a/packages/daemon/src/GrantAllocator.cpp
+++ b/packages/daemon/src/GrantAllocator.cpp
@@ -9,67 +9,69 @@
 namespace {
 
 /// Stands for the requests of daemons that are not heard of.
-constexpr const char *UnheardName = "unheard";
+constexpr const char *UnreportedHolderId = "unheard";
 
-std::string holderName(const GrantRequest &Request) {
+std::string holderId(const GrantRequest &Request) {
   return Request.From + "/" + Request.Incarnation;
 }
 
 } // namespace
 
 std::vector<int> apportion(int Total, const std::vector<double> &Weights,
-                           std::size_t Turn) {
+                           std::size_t TieOffset) {
   std::vector<int> Parts(Weights.size(), 0);
   const double Sum = std::accumulate(Weights.begin(), Weights.end(), 0.0);
   if (Sum <= 0.0 || Total <= 0)
     return Parts;
-  int Given = 0;
-  std::vector<std::pair<double, std::size_t>> Rests;
+  int Assigned = 0;
+  std::vector<std::pair<double, std::size_t>> Remainders;
   for (std::size_t Index = 0; Index < Weights.size(); ++Index) {
     const double Exact = Total * Weights[Index] / Sum;
     Parts[Index] = static_cast<int>(Exact);
-    Given += Parts[Index];
-    Rests.emplace_back(Exact - Parts[Index], Index);
+    Assigned += Parts[Index];
+    Remainders.emplace_back(Exact - Parts[Index], Index);
   }
   const std::size_t Count = Weights.size();
-  std::sort(Rests.begin(), Rests.end(), [&](const auto &A, const auto &B) {
-    if (A.first != B.first)
-      return A.first > B.first;
-    return (A.second + Turn) % Count < (B.second + Turn) % Count;
-  });
-  for (std::size_t Index = 0; Given < Total; Index = (Index + 1) % Count) {
-    if (Weights[Rests[Index].second] <= 0.0)
+  std::sort(
+      Remainders.begin(), Remainders.end(), [&](const auto &A, const auto &B) {
+        if (A.first != B.first)
+          return A.first > B.first;
+        return (A.second + TieOffset) % Count < (B.second + TieOffset) % Count;
+      });
+  for (std::size_t Index = 0; Assigned < Total; Index = (Index + 1) % Count) {
+    if (Weights[Remainders[Index].second] <= 0.0)
       continue;
-    ++Parts[Rests[Index].second];
-    ++Given;
+    ++Parts[Remainders[Index].second];
+    ++Assigned;
   }
   return Parts;
 }
 
-int GrantAllocator::Pool::bound() const {
+int GrantAllocator::LimitedResource::capSum() const {
   return std::accumulate(
-      Bounds.begin(), Bounds.end(), 0,
+      CapByHolder.begin(), CapByHolder.end(), 0,
       [](int Sum, const auto &Entry) { return Sum + Entry.second; });
 }
 
-int GrantAllocator::Pool::boundOf(const std::string &Who) const {
-  return countOf(Bounds, Who);
+int GrantAllocator::LimitedResource::capOf(const std::string &HolderId) const {
+  return countOf(CapByHolder, HolderId);
 }
 
 GrantAllocator::GrantAllocator(const Clock &MonotonicClock,
-                               const GrantTimes &Times, bool Inherited)
-    : MonotonicClock_(MonotonicClock), Times_(Times),
-      SettledAt_(Inherited ? MonotonicClock.now() + Times.Settle
-                           : MonotonicClock.now()) {}
+                               const GrantTimings &Timings, bool Inherited)
+    : MonotonicClock_(MonotonicClock), Timings_(Timings),
+      RecoveryEndsAt_(Inherited
+                          ? MonotonicClock.now() + Timings.RequestDrainTime
+                          : MonotonicClock.now()) {}
 
-void GrantAllocator::setMembers(std::vector<std::string> Names) {
-  Members_ = std::move(Names);
+void GrantAllocator::setDaemons(std::vector<std::string> Names) {
+  DaemonNames_ = std::move(Names);
 }
 
-bool GrantAllocator::silent(const std::string &Member) const {
+bool GrantAllocator::isSilent(const std::string &DaemonName) const {
   return std::none_of(Holders_.begin(), Holders_.end(), [&](const auto &Entry) {
-    return Entry.second.Member == Member &&
-           MonotonicClock_.now() - Entry.second.HeardAt <= Times_.Lease;
+    return Entry.second.DaemonName == DaemonName &&
+           MonotonicClock_.now() - Entry.second.LastRequestAt <= Timings_.Lease;
   });
 }
 
@@ -83,200 +85,214 @@
   Customers_[Customer].Limit = Share;
 }
 
-void GrantAllocator::forgetSilent() {
+void GrantAllocator::removeExpiredHolders() {
   const TimePoint Now = MonotonicClock_.now();
   std::erase_if(Holders_, [&](const auto &Entry) {
-    if (Now - Entry.second.HeardAt < Times_.Settle)
+    if (Now - Entry.second.LastRequestAt < Timings_.RequestDrainTime)
       return false;
-    for (auto &[Vm, Pool] : Vms_)
-      Pool.Bounds.erase(Entry.first);
-    for (auto &[Customer, Pool] : Customers_)
-      Pool.Bounds.erase(Entry.first);
+    for (auto &[Vm, Resource] : Vms_)
+      Resource.CapByHolder.erase(Entry.first);
+    for (auto &[Customer, Resource] : Customers_)
+      Resource.CapByHolder.erase(Entry.first);
     return true;
   });
 }
 
-void GrantAllocator::report(std::map<std::string, Pool> &Pools,
-                            const std::string &Who, const Counts &Caps,
-                            bool First, std::set<std::string> &Nudge) {
+void GrantAllocator::recordReport(
+    std::map<std::string, LimitedResource> &Resources,
+    const std::string &HolderId, const CountByName &Caps, bool FirstRequest,
+    std::set<std::string> &DaemonsToNotify) {
   // The report is what the front door may use: it ignores the answers to all
   // its earlier requests from now on.
-  for (auto &[Name, Pool] : Pools) {
+  for (auto &[Name, Resource] : Resources) {
     const int Cap = countOf(Caps, Name);
-    if (First)
-      Pool.Reported += Cap;
-    if (Cap < Pool.boundOf(Who))
-      for (const std::string &Other : Pool.Lacking)
+    if (FirstRequest)
+      Resource.ReportedCap += Cap;
+    if (Cap < Resource.capOf(HolderId))
+      for (const std::string &Other : Resource.HoldersBelowTarget)
         if (Holders_.contains(Other))
-          Nudge.insert(Holders_.at(Other).Member);
+          DaemonsToNotify.insert(Holders_.at(Other).DaemonName);
     if (Cap > 0)
-      Pool.Bounds[Who] = Cap;
+      Resource.CapByHolder[HolderId] = Cap;
     else
-      Pool.Bounds.erase(Who);
+      Resource.CapByHolder.erase(HolderId);
   }
   for (const auto &[Name, Cap] : Caps)
-    if (!Pools.contains(Name) && Cap > 0) {
-      Pools[Name].Bounds[Who] = Cap;
-      Pools[Name].Reported = Cap;
+    if (!Resources.contains(Name) && Cap > 0) {
+      Resources[Name].CapByHolder[HolderId] = Cap;
+      Resources[Name].ReportedCap = Cap;
     }
 }
 
-int GrantAllocator::available(const Pool &Pool, bool ByCustomer) const {
+int GrantAllocator::grantableLimit(const LimitedResource &Resource,
+                                   bool ByCustomer) const {
   // Until all is settled, what the reports don't account for may be in use.
-  if (!settled())
-    return std::min(Pool.Limit, Pool.Reported);
-  if (!ByCustomer || Members_.empty())
-    return Pool.Limit;
-  int Limit = Pool.Limit;
-  const int Count = static_cast<int>(Members_.size());
-  const int Part = (Pool.Limit + Count - 1) / Count;
-  for (const std::string &Member : Members_)
-    if (silent(Member))
+  if (!recovered())
+    return std::min(Resource.Limit, Resource.ReportedCap);
+  if (!ByCustomer || DaemonNames_.empty())
+    return Resource.Limit;
+  int Limit = Resource.Limit;
+  const int Count = static_cast<int>(DaemonNames_.size());
+  const int Part = (Resource.Limit + Count - 1) / Count;
+  for (const std::string &DaemonName : DaemonNames_)
+    if (isSilent(DaemonName))
       Limit -= Part;
   return std::max(Limit, 0);
 }
 
-Counts GrantAllocator::targets(const std::string &Name, const Pool &Pool,
-                               bool ByCustomer) const {
+CountByName GrantAllocator::targetCaps(const std::string &Name,
+                                       const LimitedResource &Resource,
+                                       bool ByCustomer) const {
   // Half is split evenly, so that a first request needs no message and each
   // front door has something to go on with under a new owner; half goes where
   // the demand is.
   const TimePoint Now = MonotonicClock_.now();
   std::vector<double> Weights;
   std::vector<std::string> Names;
-  for (const auto &[Other, State] : Holders_) {
-    if (Now - State.HeardAt > Times_.Lease)
+  for (const auto &[Other, Holder] : Holders_) {
+    if (Now - Holder.LastRequestAt > Timings_.Lease)
       continue;
-    const int Demand = ByCustomer ? countOf(State.CustomerDemand, Name)
-                                  : countOf(State.ServiceDemand, Pool.Service);
+    const int Demand = ByCustomer
+                           ? countOf(Holder.CustomerDemand, Name)
+                           : countOf(Holder.ServiceDemand, Resource.Service);
     Names.push_back(Other);
-    Weights.push_back(Demand + Pool.Limit / 2.0);
+    Weights.push_back(Demand + Resource.Limit / 2.0);
   }
-  const std::vector<int> Parts = apportion(available(Pool, ByCustomer), Weights,
-                                           std::hash<std::string>{}(Name));
-  Counts Out;
+  const std::vector<int> Parts =
+      apportion(grantableLimit(Resource, ByCustomer), Weights,
+                std::hash<std::string>{}(Name));
+  CountByName Out;
   for (std::size_t Index = 0; Index < Names.size(); ++Index)
     Out[Names[Index]] = Parts[Index];
   return Out;
 }
 
-void GrantAllocator::decide(std::map<std::string, Pool> &Pools,
-                            const std::string &Who, bool ByCustomer,
-                            Counts &Caps, std::set<std::string> &Nudge) {
-  const Holder &State = Holders_.at(Who);
-  for (auto &[Name, Pool] : Pools) {
-    const int Demand = ByCustomer ? countOf(State.CustomerDemand, Name)
-                                  : countOf(State.ServiceDemand, Pool.Service);
-    const Counts Targets = targets(Name, Pool, ByCustomer);
-    const int Target = countOf(Targets, Who);
-    const int Cap = grant(Pool, Who, Target, ByCustomer);
+void GrantAllocator::decideCaps(
+    std::map<std::string, LimitedResource> &Resources,
+    const std::string &HolderId, bool ByCustomer, CountByName &Caps,
+    std::set<std::string> &DaemonsToNotify) {
+  const GrantHolder &Holder = Holders_.at(HolderId);
+  for (auto &[Name, Resource] : Resources) {
+    const int Demand = ByCustomer
+                           ? countOf(Holder.CustomerDemand, Name)
+                           : countOf(Holder.ServiceDemand, Resource.Service);
+    const CountByName Targets = targetCaps(Name, Resource, ByCustomer);
+    const int Target = countOf(Targets, HolderId);
+    const int Cap = grantCap(Resource, HolderId, Target, ByCustomer);
     if (Cap > 0)
       Caps[Name] = Cap;
     // A VM's slots are spread over many VMs; only a lack that makes a request
     // wait is worth a message.
     if (Cap >= Target || Demand <= Cap) {
-      Pool.Lacking.erase(Who);
+      Resource.HoldersBelowTarget.erase(HolderId);
       continue;
     }
-    Pool.Lacking.insert(Who);
-    for (const auto &[Other, Bound] : Pool.Bounds)
-      if (Other != Who && Bound > countOf(Targets, Other) &&
+    Resource.HoldersBelowTarget.insert(HolderId);
+    for (const auto &[Other, OtherCap] : Resource.CapByHolder)
+      if (Other != HolderId && OtherCap > countOf(Targets, Other) &&
           Holders_.contains(Other))
-        Nudge.insert(Holders_.at(Other).Member);
+        DaemonsToNotify.insert(Holders_.at(Other).DaemonName);
   }
 }
 
-int GrantAllocator::grant(Pool &Pool, const std::string &Who, int Target,
-                          bool ByCustomer) {
-  const int Now = Pool.boundOf(Who);
-  if (Target <= Now)
+int GrantAllocator::grantCap(LimitedResource &Resource,
+                             const std::string &HolderId, int Target,
+                             bool ByCustomer) {
+  const int CurrentCap = Resource.capOf(HolderId);
+  if (Target <= CurrentCap)
     return Target;
-  const int Room = std::max(available(Pool, ByCustomer) - Pool.bound(), 0);
-  const int Granted = std::min(Target, Now + Room);
+  const int FreeCap =
+      std::max(grantableLimit(Resource, ByCustomer) - Resource.capSum(), 0);
+  const int Granted = std::min(Target, CurrentCap + FreeCap);
   if (Granted > 0)
-    Pool.Bounds[Who] = Granted;
+    Resource.CapByHolder[HolderId] = Granted;
   return Granted;
 }
 
-GrantDecision GrantAllocator::answer(GrantRequest Request) {
-  forgetSilent();
-  const std::string Who = holderName(Request);
+GrantDecision GrantAllocator::handleRequest(GrantRequest Request) {
+  removeExpiredHolders();
+  const std::string HolderId = holderId(Request);
   GrantDecision Out;
   Out.Reply.Seq = Request.Seq;
-  const bool First = !Holders_.contains(Who);
-  if (Request.Basis != 0 &&
-      (First || Holders_[Who].AnswerSeq != Request.Basis)) {
-    Out.Reply.Resend = true;
+  const bool FirstRequest = !Holders_.contains(HolderId);
+  if (Request.BaseSeq != 0 &&
+      (FirstRequest || Holders_[HolderId].ReplySeq != Request.BaseSeq)) {
+    Out.Reply.SendFullCaps = true;
     return Out;
   }
-  Holder &State = Holders_[Who];
-  if (!First && Request.Seq <= State.Seq) {
+  GrantHolder &Holder = Holders_[HolderId];
+  if (!FirstRequest && Request.Seq <= Holder.Seq) {
     // A delayed copy: what it reports is out of date.
     Out.Reply.Seq = 0;
     return Out;
   }
-  State.Seq = Request.Seq;
-  State.Member = Request.From;
-  State.HeardAt = MonotonicClock_.now();
-  State.ServiceDemand = Request.ServiceDemand;
-  State.CustomerDemand = Request.CustomerDemand;
-  if (Request.Basis != 0) {
-    Request.VmCaps = overlay(State.VmCaps, Request.VmCaps);
-    Request.CustomerCaps = overlay(State.CustomerCaps, Request.CustomerCaps);
+  Holder.Seq = Request.Seq;
+  Holder.DaemonName = Request.From;
+  Holder.LastRequestAt = MonotonicClock_.now();
+  Holder.ServiceDemand = Request.ServiceDemand;
+  Holder.CustomerDemand = Request.CustomerDemand;
+  if (Request.BaseSeq != 0) {
+    Request.VmCaps = overlay(Holder.VmCaps, Request.VmCaps);
+    Request.CustomerCaps = overlay(Holder.CustomerCaps, Request.CustomerCaps);
   }
-  std::set<std::string> Nudge;
-  report(Vms_, Who, Request.VmCaps, First, Nudge);
-  report(Customers_, Who, Request.CustomerCaps, First, Nudge);
-  decide(Vms_, Who, false, Out.Reply.VmCaps, Nudge);
-  decide(Customers_, Who, true, Out.Reply.CustomerCaps, Nudge);
-  State.AnswerSeq = Request.Seq;
-  State.VmCaps = Out.Reply.VmCaps;
-  State.CustomerCaps = Out.Reply.CustomerCaps;
+  std::set<std::string> DaemonsToNotify;
+  recordReport(Vms_, HolderId, Request.VmCaps, FirstRequest, DaemonsToNotify);
+  recordReport(Customers_, HolderId, Request.CustomerCaps, FirstRequest,
+               DaemonsToNotify);
+  decideCaps(Vms_, HolderId, false, Out.Reply.VmCaps, DaemonsToNotify);
+  decideCaps(Customers_, HolderId, true, Out.Reply.CustomerCaps,
+             DaemonsToNotify);
+  Holder.ReplySeq = Request.Seq;
+  Holder.VmCaps = Out.Reply.VmCaps;
+  Holder.CustomerCaps = Out.Reply.CustomerCaps;
   Out.Reply.VmCaps = difference(Request.VmCaps, Out.Reply.VmCaps);
   Out.Reply.CustomerCaps =
       difference(Request.CustomerCaps, Out.Reply.CustomerCaps);
-  Nudge.erase(Request.From);
-  Out.Nudge.assign(Nudge.begin(), Nudge.end());
+  DaemonsToNotify.erase(Request.From);
+  Out.DaemonsToNotify.assign(DaemonsToNotify.begin(), DaemonsToNotify.end());
   return Out;
 }
 
-int GrantAllocator::boundOfVm(const std::string &Vm) const {
+int GrantAllocator::maxInFlightOnVm(const std::string &Vm) const {
   const auto Found = Vms_.find(Vm);
-  return Found == Vms_.end() ? 0 : Found->second.bound();
+  return Found == Vms_.end() ? 0 : Found->second.capSum();
 }
 
-int GrantAllocator::boundOfCustomer(const std::string &Customer) const {
+int GrantAllocator::maxInFlightOfCustomer(const std::string &Customer) const {
   const auto Found = Customers_.find(Customer);
-  return Found == Customers_.end() ? 0 : Found->second.bound();
+  return Found == Customers_.end() ? 0 : Found->second.capSum();
 }
 
 int GrantAllocator::demandOfCustomer(const std::string &Customer) const {
   int Sum = 0;
-  for (const auto &[Name, State] : Holders_)
-    if (MonotonicClock_.now() - State.HeardAt <= Times_.Lease)
-      Sum += countOf(State.CustomerDemand, Customer);
+  for (const auto &[Name, Holder] : Holders_)
+    if (MonotonicClock_.now() - Holder.LastRequestAt <= Timings_.Lease)
+      Sum += countOf(Holder.CustomerDemand, Customer);
   return Sum;
 }
 
-bool GrantAllocator::certain() const {
-  return settled() &&
-         std::none_of(Members_.begin(), Members_.end(),
-                      [this](const std::string &Name) { return silent(Name); });
+bool GrantAllocator::usageFullyKnown() const {
+  return recovered() && std::none_of(DaemonNames_.begin(), DaemonNames_.end(),
+                                     [this](const std::string &Name) {
+                                       return isSilent(Name);
+                                     });
 }
 
-void GrantAllocator::settle(const Counts &OnVms, const Counts &OfCustomers) {
-  SettledAt_ = MonotonicClock_.now();
+void GrantAllocator::finishRecovery(const CountByName &OnVms,
+                                    const CountByName &OfCustomers) {
+  RecoveryEndsAt_ = MonotonicClock_.now();
   // They end within the settling time, when a silent holder is forgotten.
-  Holders_[UnheardName].HeardAt = MonotonicClock_.now() - Times_.Lease;
+  Holders_[UnreportedHolderId].LastRequestAt =
+      MonotonicClock_.now() - Timings_.Lease;
   for (const auto &[Vm, Count] : OnVms)
-    Vms_[Vm].Bounds[UnheardName] = Count;
+    Vms_[Vm].CapByHolder[UnreportedHolderId] = Count;
   for (const auto &[Customer, Count] : OfCustomers)
-    Customers_[Customer].Bounds[UnheardName] = Count;
+    Customers_[Customer].CapByHolder[UnreportedHolderId] = Count;
 }
 
-std::vector<std::string> GrantAllocator::holders() const {
+std::vector<std::string> GrantAllocator::holderIds() const {
   std::vector<std::string> Out;
-  for (const auto &[Name, State] : Holders_)
+  for (const auto &[Name, Holder] : Holders_)
     Out.push_back(Name);
   return Out;
 }
--- a/packages/daemon/src/GrantMessages.cpp
+++ b/packages/daemon/src/GrantMessages.cpp
@@ -13,10 +13,10 @@
           {"f", Message.From},
           {"i", Message.Incarnation},
           {"s", Message.Seq},
-          {"t", Message.VmTable},
+          {"t", Message.VmTableVersion},
           {"v", Message.VmCaps},
           {"c", Message.CustomerCaps},
-          {"b", Message.Basis},
+          {"b", Message.BaseSeq},
           {"dv", Message.ServiceDemand},
           {"dc", Message.CustomerDemand},
           {"l", Message.Leaving},
@@ -29,10 +29,10 @@
                      {"o", Message.Owner},
                      {"e", Message.Epoch},
                      {"s", Message.Seq},
-                     {"n", Message.Resend},
+                     {"n", Message.SendFullCaps},
                      {"v", Message.VmCaps},
                      {"c", Message.CustomerCaps},
-                     {"t", Message.VmTable},
+                     {"t", Message.VmTableVersion},
                      {"h", Message.Stamp}};
   if (Message.Vms) {
     Out["m"] = nlohmann::json::array();
@@ -53,10 +53,10 @@
   Input.at("f").get_to(Out.From);
   Input.at("i").get_to(Out.Incarnation);
   Input.at("s").get_to(Out.Seq);
-  Input.at("t").get_to(Out.VmTable);
+  Input.at("t").get_to(Out.VmTableVersion);
   Input.at("v").get_to(Out.VmCaps);
   Input.at("c").get_to(Out.CustomerCaps);
-  Input.at("b").get_to(Out.Basis);
+  Input.at("b").get_to(Out.BaseSeq);
   Input.at("dv").get_to(Out.ServiceDemand);
   Input.at("dc").get_to(Out.CustomerDemand);
   Input.at("l").get_to(Out.Leaving);
@@ -70,10 +70,10 @@
   Input.at("o").get_to(Out.Owner);
   Input.at("e").get_to(Out.Epoch);
   Input.at("s").get_to(Out.Seq);
-  Input.at("n").get_to(Out.Resend);
+  Input.at("n").get_to(Out.SendFullCaps);
   Input.at("v").get_to(Out.VmCaps);
   Input.at("c").get_to(Out.CustomerCaps);
-  Input.at("t").get_to(Out.VmTable);
+  Input.at("t").get_to(Out.VmTableVersion);
   Input.at("h").get_to(Out.Stamp);
   if (!Input.contains("m"))
     return Out;
@@ -95,13 +95,13 @@
 
 } // namespace
 
-int countOf(const Counts &Values, const std::string &Name) {
+int countOf(const CountByName &Values, const std::string &Name) {
   const auto Found = Values.find(Name);
   return Found == Values.end() ? 0 : Found->second;
 }
 
-Counts difference(const Counts &From, const Counts &To) {
-  Counts Out;
+CountByName difference(const CountByName &From, const CountByName &To) {
+  CountByName Out;
   for (const auto &[Name, Count] : To) {
     const auto Old = From.find(Name);
     if (Old == From.end() || Old->second != Count)
@@ -113,7 +113,7 @@
   return Out;
 }
 
-Counts overlay(Counts Base, const Counts &Changes) {
+CountByName overlay(CountByName Base, const CountByName &Changes) {
   for (const auto &[Name, Count] : Changes) {
     if (Count == 0)
       Base.erase(Name);
--- a/packages/daemon/tests/GrantTest.cpp
+++ b/packages/daemon/tests/GrantTest.cpp
@@ -65,12 +65,12 @@
   }
 
   void startOwner(bool Inherited) {
-    Owner = std::make_unique<GrantAllocator>(Time, GrantTimes{Lease, Settle},
+    Owner = std::make_unique<GrantAllocator>(Time, GrantTimings{Lease, Settle},
                                              Inherited);
     std::vector<std::string> Names;
     for (const Door &Each : Members)
       Names.push_back(Each.Name);
-    Owner->setMembers(Names);
+    Owner->setDaemons(Names);
     for (int Index = 0; Index < Vms; ++Index)
       Owner->setVm(fmt::format("vm{}", Index), "s", Slots);
     Owner->setCustomer("c", Share);
@@ -82,11 +82,11 @@
   /// Once all earlier leases are over, the VMs tell what daemons that the owner
   /// has not heard of have in flight.
   void settleWhenDue() {
-    if (Owner->settled() || Time.now() - TakenAt <= Lease)
+    if (Owner->recovered() || Time.now() - TakenAt <= Lease)
       return;
-    const std::vector<std::string> Heard = Owner->holders();
-    Counts OnVms;
-    Counts OfCustomers;
+    const std::vector<std::string> Heard = Owner->holderIds();
+    CountByName OnVms;
+    CountByName OfCustomers;
     for (const Door &Each : Members) {
       if (std::count(Heard.begin(), Heard.end(), Each.Name + "/1") > 0)
         continue;
@@ -95,7 +95,7 @@
         ++OfCustomers["c"];
       }
     }
-    Owner->settle(OnVms, OfCustomers);
+    Owner->finishRecovery(OnVms, OfCustomers);
   }
 
   void play(std::uint32_t Word) {
@@ -108,7 +108,7 @@
       GrantRequest Request;
       Request.From = Chosen.Name;
       Request.Incarnation = "1";
-      Chosen.Book.report(Request);
+      Chosen.Book.fillRequest(Request);
       Chosen.AskedAt = Time.now();
       Chosen.AskedSeq = Request.Seq;
       Requests.push_back(Request);
@@ -124,8 +124,8 @@
           std::erase_if(Requests, [&](const GrantRequest &Each) {
             return Each.From == Request.From && Each.Seq == Request.Seq;
           });
-        GrantReply Reply = Owner->answer(Request).Reply;
-        Reply.VmTable = 1;
+        GrantReply Reply = Owner->handleRequest(Request).Reply;
+        Reply.VmTableVersion = 1;
         Reply.Vms.emplace();
         for (int Index = 0; Index < Vms; ++Index)
           Reply.Vms->push_back({fmt::format("vm{}", Index), "s", "u"});
@@ -138,8 +138,8 @@
     case 8:
       if (!Replies.empty()) {
         const auto [Index, Reply] = Replies[Rest % Replies.size()];
-        Members[Index].Book.apply(Reply, Members[Index].AskedAt, Lease,
-                                  MaxRequestTime);
+        Members[Index].Book.applyReply(Reply, Members[Index].AskedAt, Lease,
+                                       MaxRequestTime);
       }
       break;
     case 9:
@@ -166,15 +166,15 @@
         endHeld(Each);
     settleWhenDue();
     for (Door &Each : Members) {
-      Each.Book.takeLate();
-      for (const Slot &New : Each.Book.takeReady())
+      Each.Book.dequeueExpired();
+      for (const Slot &New : Each.Book.assignSlots())
         Each.Held.emplace_back(New, Time.now());
     }
     check();
   }
 
   void enqueue(Door &At) {
-    SlotDemand Demand;
+    SlotRequest Demand;
     Demand.Id = At.NextId++;
     Demand.Customer = "c";
     Demand.Service = "s";
@@ -185,7 +185,7 @@
   void endHeld(Door &Of) {
     if (Of.Held.empty())
       return;
-    Of.Book.giveBack(Of.Held.front().first, milliseconds(1));
+    Of.Book.releaseSlot(Of.Held.front().first, milliseconds(1));
     Of.Held.pop_front();
   }
 
@@ -237,24 +237,24 @@
 
 BOOST_AUTO_TEST_CASE(silentDoorsSlotsComeBackAfterItsRequestsEnded) {
   ManualClock Time;
-  GrantAllocator Owner(Time, GrantTimes{Lease, Settle}, false);
+  GrantAllocator Owner(Time, GrantTimings{Lease, Settle}, false);
   Owner.setVm("vm0", "s", Slots);
   GrantRequest Request;
   Request.From = "door0";
   Request.Incarnation = "1";
   Request.Seq = 1;
-  BOOST_CHECK_EQUAL(Owner.answer(Request).Reply.VmCaps["vm0"], Slots);
+  BOOST_CHECK_EQUAL(Owner.handleRequest(Request).Reply.VmCaps["vm0"], Slots);
   Time.advance(Settle - milliseconds(1));
   Request.From = "door1";
-  BOOST_CHECK_EQUAL(Owner.answer(Request).Reply.VmCaps["vm0"], 0);
+  BOOST_CHECK_EQUAL(Owner.handleRequest(Request).Reply.VmCaps["vm0"], 0);
   Time.advance(milliseconds(2));
   Request.Seq = 2;
-  BOOST_CHECK_EQUAL(Owner.answer(Request).Reply.VmCaps["vm0"], Slots);
+  BOOST_CHECK_EQUAL(Owner.handleRequest(Request).Reply.VmCaps["vm0"], Slots);
 }
 
 BOOST_AUTO_TEST_CASE(idleHolderIsNudgedAndThenTheOneThatLacks) {
   ManualClock Time;
-  GrantAllocator Owner(Time, GrantTimes{Lease, Settle}, false);
+  GrantAllocator Owner(Time, GrantTimings{Lease, Settle}, false);
   Owner.setCustomer("c", 4);
   const auto Ask = [&](const char *From, std::int64_t Seq, int Cap,
                        int Demand) {
@@ -265,14 +265,15 @@
     if (Cap > 0)
       Request.CustomerCaps = {{"c", Cap}};
     Request.CustomerDemand = {{"c", Demand}};
-    return Owner.answer(Request);
+    return Owner.handleRequest(Request);
   };
   BOOST_CHECK_EQUAL(Ask("door0", 1, 0, 2).Reply.CustomerCaps["c"], 4);
   const GrantDecision Lacks = Ask("door1", 1, 0, 2);
   BOOST_CHECK_EQUAL(Lacks.Reply.CustomerCaps.count("c"), 0);
-  BOOST_CHECK(Lacks.Nudge == std::vector<std::string>{"door0"});
+  BOOST_CHECK(Lacks.DaemonsToNotify == std::vector<std::string>{"door0"});
   BOOST_CHECK_EQUAL(Ask("door0", 2, 4, 0).Reply.CustomerCaps["c"], 1);
-  BOOST_CHECK(Ask("door0", 3, 1, 0).Nudge == std::vector<std::string>{"door1"});
+  BOOST_CHECK(Ask("door0", 3, 1, 0).DaemonsToNotify ==
+              std::vector<std::string>{"door1"});
   BOOST_CHECK_EQUAL(Ask("door1", 2, 0, 2).Reply.CustomerCaps["c"], 3);
 }
 
