--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -54,7 +54,7 @@
 /// decides by the scheduler, keeps the jobs' rows, and grants slots to the
 /// domain's front doors. Runs on the control thread.
 class DomainOwner final : public VmEvents,
-                          public ShareUse,
+                          public DomainUsage,
                           public std::enable_shared_from_this<DomainOwner> {
 public:
   using Submitted = std::function<void(Result<std::string>)>;
@@ -104,8 +104,8 @@
                   const std::string &Holder) override;
 
   ShareAmount demand(const std::string &Customer) const override;
-  ShareAmount bound(const std::string &Customer) const override;
-  bool certain() const override;
+  ShareAmount maxUsage(const std::string &Customer) const override;
+  bool usageFullyKnown() const override;
 
 private:
   struct KnownVm {
--- a/packages/daemon/include/cuminroad/daemon/ShareManager.h
+++ b/packages/daemon/include/cuminroad/daemon/ShareManager.h
@@ -15,28 +15,28 @@
 namespace cuminroad {
 
 /// What the owner of a domain can say of a customer.
-class ShareUse {
+class DomainUsage {
 public:
-  virtual ~ShareUse() = default;
+  virtual ~DomainUsage() = default;
   /// \returns what the domain uses and would use of the customer's limits now.
   virtual ShareAmount demand(const std::string &Customer) const = 0;
   /// \returns the most that the domain may be using of them; what it could
   /// start on grants that are out counts as used.
-  virtual ShareAmount bound(const std::string &Customer) const = 0;
+  virtual ShareAmount maxUsage(const std::string &Customer) const = 0;
   /// Whether bound() knows of everything that may run. Until then nothing is
   /// given away.
-  virtual bool certain() const = 0;
+  virtual bool usageFullyKnown() const = 0;
 };
 
 /// What a share keeper works with; all of it outlives the keeper.
-struct ShareScope {
+struct ShareManagerContext {
   std::string Domain;
   std::vector<std::string> Domains;
   /// The domain's epoch row: an earlier owner moves nothing.
   std::string EpochKey;
   std::int64_t EpochVersion = 0;
   /// Whether the owner was chosen by the table; another moves nothing.
-  bool ByTable = true;
+  bool ChosenByTable = true;
 };
 
 /// Moves parts of customers' limits between failure domains, for the owner of
@@ -47,16 +47,16 @@
 /// whoever is cut off. Runs on the control thread.
 class ShareManager : public std::enable_shared_from_this<ShareManager> {
 public:
-  ShareManager(Table &Rows, Loop &ControlLoop, ShareScope Scope,
-               const ShareUse &Use);
+  ShareManager(Table &Rows, Loop &ControlLoop, ShareManagerContext Context,
+               const DomainUsage &Usage);
 
   void start();
   void close() { Closed_ = true; }
   /// Sets the terms in force of all customers.
   void setContracts(std::map<std::string, ContractTerms> Contracts);
   /// \returns what the domain may use on its own now.
-  ContractTerms share(const std::string &Customer,
-                      const ContractTerms &Terms) const;
+  ContractTerms currentShare(const std::string &Customer,
+                             const ContractTerms &Terms) const;
   /// \returns the most that the domain could ever get.
   ContractTerms largestShare(const std::string &Customer,
                              const ContractTerms &Terms) const;
@@ -64,44 +64,46 @@
   std::function<void()> OnChanged;
 
 private:
-  struct Kept {
+  struct CachedRow {
     ShareRow Row;
     std::int64_t Version = 0;
   };
   /// A part that is no longer used here and on its way to another domain.
-  struct Gift {
+  struct Transfer {
     std::string To;
     ShareAmount Amount;
   };
 
   void poll();
   void reload(std::int64_t Head);
-  void review();
-  void reviewAll();
-  void reviewOne(const std::string &Customer, const ContractTerms &Terms);
+  void rebalancePeriodically();
+  void rebalanceAll();
+  void rebalanceCustomer(const std::string &Customer,
+                         const ContractTerms &Terms);
   /// \returns whether it wrote; not where the same was asked for before.
-  bool wantMore(const std::string &Customer, const ContractTerms &Terms,
-                const ShareAmount &Lack);
-  void offer(const std::string &Customer, const ContractTerms &Terms,
-             const ShareAmount &Demand);
-  void deliver(const std::string &Customer, const ContractTerms &Terms);
+  bool requestMore(const std::string &Customer, const ContractTerms &Terms,
+                   const ShareAmount &Shortfall);
+  void startTransfer(const std::string &Customer, const ContractTerms &Terms,
+                     const ShareAmount &Demand);
+  void completeTransfer(const std::string &Customer,
+                        const ContractTerms &Terms);
   void write(const std::string &Customer, ShareRow Row, std::int64_t Version,
              std::function<void()> Done);
   std::string rowKey(const std::string &Customer) const;
 
   Table &Rows_;
   Loop &ControlLoop_;
-  ShareScope Scope_;
-  const ShareUse &Use_;
+  ShareManagerContext Context_;
+  const DomainUsage &Usage_;
   bool Closed_ = false;
   bool Loaded_ = false;
-  std::int64_t Head_ = -1;
+  std::int64_t HeadVersion_ = -1;
   std::map<std::string, ContractTerms> Contracts_;
-  std::map<std::string, Kept> Kept_;
-  std::map<std::string, Gift> Gifts_;
+  std::map<std::string, CachedRow> CachedRows_;
+  std::map<std::string, Transfer> Transfers_;
   bool Writing_ = false;
   /// The customer whose row was written last.
-  std::string Cursor_;
+  std::string LastWrittenCustomer_;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/include/cuminroad/daemon/ShareRow.h
+++ b/packages/daemon/include/cuminroad/daemon/ShareRow.h
@@ -21,23 +21,23 @@
   ShareAmount &operator+=(const ShareAmount &Other);
   ShareAmount &operator-=(const ShareAmount &Other);
   /// \returns whether any part is above zero.
-  bool any() const;
+  bool anyPositive() const;
 };
 
 /// \returns the smaller of each part.
-ShareAmount smaller(const ShareAmount &Left, const ShareAmount &Right);
+ShareAmount componentMin(const ShareAmount &Left, const ShareAmount &Right);
 /// \returns each part, or 0 where it is negative.
 ShareAmount clampToZero(const ShareAmount &Amount);
 
 /// What a domain would use if it had it.
-struct ShareWant {
+struct TransferRequest {
   ShareAmount Amount;
   /// Rises with each new want. Who wanted first is served first, also by those
   /// who want themselves: two that wait for each other's unused parts would
   /// wait for ever.
   std::int64_t Order = 0;
 
-  bool operator==(const ShareWant &) const = default;
+  bool operator==(const TransferRequest &) const = default;
 };
 
 /// How one customer's limits are shared out over failure domains: a row of the
@@ -49,22 +49,22 @@
   /// The limits for which the parts were made.
   ShareAmount Limit;
   std::map<std::string, ShareAmount> Parts;
-  std::map<std::string, ShareWant> Wants;
+  std::map<std::string, TransferRequest> TransferRequests;
 
   /// Notes what \p Domain wants; it keeps its place in the line.
-  void want(const std::string &Domain, const ShareAmount &Amount);
+  void requestTransfer(const std::string &Domain, const ShareAmount &Amount);
   /// \returns the domain that is first in the line, or "".
-  std::string firstInLine() const;
+  std::string nextRecipient() const;
   /// Moves \p Amount from one domain to another.
-  void move(const std::string &From, const std::string &To,
-            const ShareAmount &Amount);
+  void transfer(const std::string &From, const std::string &To,
+                const ShareAmount &Amount);
 };
 
 Result<ShareRow> parseShareRow(const nlohmann::json &Input);
 nlohmann::json toJson(const ShareRow &Row);
 
 /// \returns the movable limits of a contract.
-ShareAmount limitOf(const ContractTerms &Terms);
+ShareAmount transferableLimits(const ContractTerms &Terms);
 /// \returns the row from which all domains start.
 ShareRow evenShares(const ContractTerms &Terms, const std::string &Customer,
                     const std::vector<std::string> &Domains);
@@ -72,18 +72,20 @@
 /// rounded down, so that what a domain may use by any version of the contract
 /// does not grow. Limits that were 0 are shared out evenly; for limits that are
 /// 0 now, the row keeps what it has for later.
-ShareRow scaledTo(const ShareRow &Row, const ContractTerms &Terms,
-                  const std::string &Customer,
-                  const std::vector<std::string> &Domains);
+ShareRow scaledToTerms(const ShareRow &Row, const ContractTerms &Terms,
+                       const std::string &Customer,
+                       const std::vector<std::string> &Domains);
 /// \returns the terms with the limits that \p Domain may use under \p Row.
-ContractTerms shareUnder(const ShareRow &Row, const ContractTerms &Terms,
-                         const std::string &Customer, const std::string &Domain,
-                         const std::vector<std::string> &Domains);
+ContractTerms termsForDomain(const ShareRow &Row, const ContractTerms &Terms,
+                             const std::string &Customer,
+                             const std::string &Domain,
+                             const std::vector<std::string> &Domains);
 /// \returns what a domain does not give away, so that it can start the next
 /// work at once: half of its even part, for requests and for urgent customers.
-ShareAmount keptPart(const ContractTerms &Terms, const std::string &Customer,
-                     const std::string &Domain,
-                     const std::vector<std::string> &Domains);
+ShareAmount reservedShare(const ContractTerms &Terms,
+                          const std::string &Customer,
+                          const std::string &Domain,
+                          const std::vector<std::string> &Domains);
 
 } // namespace cuminroad
 
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -54,9 +54,9 @@
                                                      Term_.EpochVersion})),
       Shares_(std::make_shared<ShareManager>(
           Context.Rows, Context.Home,
-          ShareScope{Context.Self.Domain, Context.Config.Domains,
-                     Term_.EpochKey, Term_.EpochVersion,
-                     Term_.EpochVersion != 0},
+          ShareManagerContext{Context.Self.Domain, Context.Config.Domains,
+                              Term_.EpochKey, Term_.EpochVersion,
+                              Term_.EpochVersion != 0},
           *this)) {}
 
 void DomainOwner::start() {
@@ -251,7 +251,7 @@
 
 void DomainOwner::applyLimits() {
   for (const auto &[Customer, Terms] : Contracts_) {
-    const ContractTerms Part = Shares_->share(Customer, Terms);
+    const ContractTerms Part = Shares_->currentShare(Customer, Terms);
     Scheduler_->setLimit(Customer, Part);
     Grants_.setCustomer(Customer, static_cast<int>(Part.MaxRequests));
   }
@@ -263,12 +263,12 @@
                      Grants_.demandOfCustomer(Customer)};
 }
 
-ShareAmount DomainOwner::bound(const std::string &Customer) const {
+ShareAmount DomainOwner::maxUsage(const std::string &Customer) const {
   return ShareAmount{Scheduler_->held(Customer),
                      Grants_.maxInFlightOfCustomer(Customer)};
 }
 
-bool DomainOwner::certain() const {
+bool DomainOwner::usageFullyKnown() const {
   return Loaded_ && Scheduler_->resolved() && Grants_.usageFullyKnown();
 }
 
--- a/packages/daemon/src/ShareManager.cpp
+++ b/packages/daemon/src/ShareManager.cpp
@@ -13,14 +13,15 @@
 constexpr milliseconds PollInterval{1000};
 /// One row is written at a time, and at most one each interval, which bounds
 /// the writes of all domains.
-constexpr milliseconds ReviewInterval{500};
+constexpr milliseconds RebalanceInterval{500};
 
 } // namespace
 
-ShareManager::ShareManager(Table &Rows, Loop &ControlLoop, ShareScope Scope,
-                           const ShareUse &Use)
-    : Rows_(Rows), ControlLoop_(ControlLoop), Scope_(std::move(Scope)),
-      Use_(Use) {}
+ShareManager::ShareManager(Table &Rows, Loop &ControlLoop,
+                           ShareManagerContext Context,
+                           const DomainUsage &Usage)
+    : Rows_(Rows), ControlLoop_(ControlLoop), Context_(std::move(Context)),
+      Usage_(Usage) {}
 
 std::string ShareManager::rowKey(const std::string &Customer) const {
   return RowPrefix + Customer;
@@ -28,10 +29,10 @@
 
 void ShareManager::start() {
   // An owner that was chosen without the table has what no domain gives away.
-  if (!Scope_.ByTable)
+  if (!Context_.ChosenByTable)
     return;
   poll();
-  review();
+  rebalancePeriodically();
 }
 
 void ShareManager::setContracts(
@@ -39,31 +40,31 @@
   Contracts_ = std::move(Contracts);
 }
 
-ContractTerms ShareManager::share(const std::string &Customer,
-                                  const ContractTerms &Terms) const {
-  const auto Found = Kept_.find(Customer);
-  const ShareRow Row = Found == Kept_.end()
-                           ? evenShares(Terms, Customer, Scope_.Domains)
+ContractTerms ShareManager::currentShare(const std::string &Customer,
+                                         const ContractTerms &Terms) const {
+  const auto Found = CachedRows_.find(Customer);
+  const ShareRow Row = Found == CachedRows_.end()
+                           ? evenShares(Terms, Customer, Context_.Domains)
                            : Found->second.Row;
   // Until the rows are read, parts may have moved: only what no domain gives
   // away is certain.
   if (!Loaded_) {
-    const ShareAmount Least =
-        smaller(keptPart(Terms, Customer, Scope_.Domain, Scope_.Domains),
-                limitOf(shareUnder(Row, Terms, Customer, Scope_.Domain,
-                                   Scope_.Domains)));
+    const ShareAmount Least = componentMin(
+        reservedShare(Terms, Customer, Context_.Domain, Context_.Domains),
+        transferableLimits(termsForDomain(Row, Terms, Customer, Context_.Domain,
+                                          Context_.Domains)));
     ContractTerms Out = Terms;
     Out.MaxHeld = Least.Held;
     Out.MaxRequests = Least.Requests;
     return Out;
   }
   ContractTerms Out =
-      shareUnder(Row, Terms, Customer, Scope_.Domain, Scope_.Domains);
-  const auto Given = Gifts_.find(Customer);
-  if (Given == Gifts_.end())
+      termsForDomain(Row, Terms, Customer, Context_.Domain, Context_.Domains);
+  const auto Pending = Transfers_.find(Customer);
+  if (Pending == Transfers_.end())
     return Out;
-  ShareAmount Left = limitOf(Out);
-  Left -= Given->second.Amount;
+  ShareAmount Left = transferableLimits(Out);
+  Left -= Pending->second.Amount;
   Left = clampToZero(Left);
   Out.MaxHeld = Left.Held;
   Out.MaxRequests = Left.Requests;
@@ -73,12 +74,13 @@
 ContractTerms ShareManager::largestShare(const std::string &Customer,
                                          const ContractTerms &Terms) const {
   ContractTerms Out = Terms;
-  for (const std::string &Domain : Scope_.Domains) {
-    if (Domain == Scope_.Domain)
+  for (const std::string &Domain : Context_.Domains) {
+    if (Domain == Context_.Domain)
       continue;
-    const ShareAmount Kept = keptPart(Terms, Customer, Domain, Scope_.Domains);
-    Out.MaxHeld -= Kept.Held;
-    Out.MaxRequests -= Kept.Requests;
+    const ShareAmount Reserved =
+        reservedShare(Terms, Customer, Domain, Context_.Domains);
+    Out.MaxHeld -= Reserved.Held;
+    Out.MaxRequests -= Reserved.Requests;
   }
   return Out;
 }
@@ -89,7 +91,7 @@
   Rows_.read(HeadKey, [Self = shared_from_this()](Result<TableRow> Head) {
     if (Self->Closed_)
       return;
-    if (Head && Head->Version != Self->Head_)
+    if (Head && Head->Version != Self->HeadVersion_)
       Self->reload(Head->Version);
     Self->ControlLoop_.after(PollInterval, [Self] { Self->poll(); });
   });
@@ -105,132 +107,135 @@
           Row.Key.substr(std::string_view(RowPrefix).size());
       const auto Parsed = parseShareRow(Row.Value);
       // A scan that began before one of our own writes is older than it.
-      Kept &Known = Self->Kept_[Customer];
-      if (Parsed && Row.Version > Known.Version)
-        Known = Kept{*Parsed, Row.Version};
+      CachedRow &Cached = Self->CachedRows_[Customer];
+      if (Parsed && Row.Version > Cached.Version)
+        Cached = CachedRow{*Parsed, Row.Version};
     }
-    Self->Head_ = Head;
+    Self->HeadVersion_ = Head;
     Self->Loaded_ = true;
     if (Self->OnChanged)
       Self->OnChanged();
   });
 }
 
-void ShareManager::review() {
+void ShareManager::rebalancePeriodically() {
   if (Closed_)
     return;
   if (Loaded_)
-    reviewAll();
-  ControlLoop_.after(ReviewInterval,
-                     [Self = shared_from_this()] { Self->review(); });
+    rebalanceAll();
+  ControlLoop_.after(RebalanceInterval, [Self = shared_from_this()] {
+    Self->rebalancePeriodically();
+  });
 }
 
-void ShareManager::reviewAll() {
+void ShareManager::rebalanceAll() {
   // Begins behind the customer that was written last, so that each has a turn.
-  auto Next = Contracts_.upper_bound(Cursor_);
+  auto Next = Contracts_.upper_bound(LastWrittenCustomer_);
   for (std::size_t Left = Contracts_.size(); Left > 0 && !Writing_; --Left) {
     if (Next == Contracts_.end())
       Next = Contracts_.begin();
-    reviewOne(Next->first, Next->second);
+    rebalanceCustomer(Next->first, Next->second);
     ++Next;
   }
 }
 
-void ShareManager::reviewOne(const std::string &Customer,
-                             const ContractTerms &Terms) {
-  if (Gifts_.contains(Customer))
-    return deliver(Customer, Terms);
-  const ShareAmount Demand = Use_.demand(Customer);
-  ShareAmount Lack = Demand;
-  Lack -= limitOf(share(Customer, Terms));
-  Lack = clampToZero(Lack);
-  if (!Lack.any())
-    return offer(Customer, Terms, Demand);
-  if (wantMore(Customer, Terms, Lack))
+void ShareManager::rebalanceCustomer(const std::string &Customer,
+                                     const ContractTerms &Terms) {
+  if (Transfers_.contains(Customer))
+    return completeTransfer(Customer, Terms);
+  const ShareAmount Demand = Usage_.demand(Customer);
+  ShareAmount Shortfall = Demand;
+  Shortfall -= transferableLimits(currentShare(Customer, Terms));
+  Shortfall = clampToZero(Shortfall);
+  if (!Shortfall.anyPositive())
+    return startTransfer(Customer, Terms, Demand);
+  if (requestMore(Customer, Terms, Shortfall))
     return;
   // Another one wanted first: what is not in use goes to it, though this domain
   // waits for more as well.
-  if (Kept_.at(Customer).Row.firstInLine() != Scope_.Domain)
-    offer(Customer, Terms, Use_.bound(Customer));
+  if (CachedRows_.at(Customer).Row.nextRecipient() != Context_.Domain)
+    startTransfer(Customer, Terms, Usage_.maxUsage(Customer));
 }
 
-bool ShareManager::wantMore(const std::string &Customer,
-                            const ContractTerms &Terms,
-                            const ShareAmount &Lack) {
-  Kept Known;
-  if (const auto Found = Kept_.find(Customer); Found != Kept_.end())
-    Known = Kept{scaledTo(Found->second.Row, Terms, Customer, Scope_.Domains),
-                 Found->second.Version};
+bool ShareManager::requestMore(const std::string &Customer,
+                               const ContractTerms &Terms,
+                               const ShareAmount &Shortfall) {
+  CachedRow Cached;
+  if (const auto Found = CachedRows_.find(Customer); Found != CachedRows_.end())
+    Cached = CachedRow{
+        scaledToTerms(Found->second.Row, Terms, Customer, Context_.Domains),
+        Found->second.Version};
   else
-    Known.Row = evenShares(Terms, Customer, Scope_.Domains);
+    Cached.Row = evenShares(Terms, Customer, Context_.Domains);
   // What was asked for and has not come yet is asked for once.
-  const auto Asked = Known.Row.Wants.find(Scope_.Domain);
-  if (Asked != Known.Row.Wants.end() &&
-      smaller(Asked->second.Amount, Lack) == Lack)
+  const auto Requested = Cached.Row.TransferRequests.find(Context_.Domain);
+  if (Requested != Cached.Row.TransferRequests.end() &&
+      componentMin(Requested->second.Amount, Shortfall) == Shortfall)
     return false;
-  Known.Row.want(Scope_.Domain, Lack);
-  write(Customer, Known.Row, Known.Version, [] {});
+  Cached.Row.requestTransfer(Context_.Domain, Shortfall);
+  write(Customer, Cached.Row, Cached.Version, [] {});
   return true;
 }
 
-void ShareManager::offer(const std::string &Customer,
-                         const ContractTerms &Terms,
-                         const ShareAmount &Demand) {
-  const auto Found = Kept_.find(Customer);
-  if (Found == Kept_.end() || !Use_.certain())
+void ShareManager::startTransfer(const std::string &Customer,
+                                 const ContractTerms &Terms,
+                                 const ShareAmount &Demand) {
+  const auto Found = CachedRows_.find(Customer);
+  if (Found == CachedRows_.end() || !Usage_.usageFullyKnown())
     return;
-  ShareRow Row = scaledTo(Found->second.Row, Terms, Customer, Scope_.Domains);
-  if (Row.firstInLine() == Scope_.Domain) {
+  ShareRow Row =
+      scaledToTerms(Found->second.Row, Terms, Customer, Context_.Domains);
+  if (Row.nextRecipient() == Context_.Domain) {
     // It has what it needs by now.
-    Row.Wants.erase(Scope_.Domain);
+    Row.TransferRequests.erase(Context_.Domain);
     return write(Customer, Row, Found->second.Version, [] {});
   }
-  if (Row.Wants.empty())
+  if (Row.TransferRequests.empty())
     return;
-  const ShareAmount Share = limitOf(share(Customer, Terms));
-  ShareAmount Spare = Share;
-  Spare -= Demand;
-  const ShareAmount Kept =
-      keptPart(Terms, Customer, Scope_.Domain, Scope_.Domains);
-  ShareAmount AboveKept = Share;
-  AboveKept -= Kept;
-  const std::string To = Row.firstInLine();
-  const ShareAmount Amount =
-      clampToZero(smaller(smaller(Spare, AboveKept), Row.Wants[To].Amount));
-  if (!Amount.any())
+  const ShareAmount Share = transferableLimits(currentShare(Customer, Terms));
+  ShareAmount Surplus = Share;
+  Surplus -= Demand;
+  const ShareAmount Reserved =
+      reservedShare(Terms, Customer, Context_.Domain, Context_.Domains);
+  ShareAmount AboveReserved = Share;
+  AboveReserved -= Reserved;
+  const std::string To = Row.nextRecipient();
+  const ShareAmount Amount = clampToZero(componentMin(
+      componentMin(Surplus, AboveReserved), Row.TransferRequests[To].Amount));
+  if (!Amount.anyPositive())
     return;
-  Gifts_[Customer] = Gift{To, Amount};
+  Transfers_[Customer] = Transfer{To, Amount};
   // From here on the domain's own limit is lower.
   if (OnChanged)
     OnChanged();
 }
 
-void ShareManager::deliver(const std::string &Customer,
-                           const ContractTerms &Terms) {
-  const Gift Given = Gifts_.at(Customer);
-  const ShareAmount Left = limitOf(share(Customer, Terms));
-  const ShareAmount Bound = Use_.bound(Customer);
-  const bool Unused =
-      Bound.Held.fitsIn(Left.Held) && Bound.Requests <= Left.Requests;
-  Kept &Known = Kept_[Customer];
-  if (!Known.Row.Wants.contains(Given.To)) {
-    Gifts_.erase(Customer);
+void ShareManager::completeTransfer(const std::string &Customer,
+                                    const ContractTerms &Terms) {
+  const Transfer Pending = Transfers_.at(Customer);
+  const ShareAmount Left = transferableLimits(currentShare(Customer, Terms));
+  const ShareAmount MaxUsage = Usage_.maxUsage(Customer);
+  const bool NoLongerUsed =
+      MaxUsage.Held.fitsIn(Left.Held) && MaxUsage.Requests <= Left.Requests;
+  CachedRow &Cached = CachedRows_[Customer];
+  if (!Cached.Row.TransferRequests.contains(Pending.To)) {
+    Transfers_.erase(Customer);
     if (OnChanged)
       OnChanged();
     return;
   }
-  if (!Unused || !Use_.certain())
+  if (!NoLongerUsed || !Usage_.usageFullyKnown())
     return;
-  ShareRow Row = scaledTo(Known.Row, Terms, Customer, Scope_.Domains);
+  ShareRow Row = scaledToTerms(Cached.Row, Terms, Customer, Context_.Domains);
   // A contract that became smaller may have left less than was promised.
-  const ShareAmount Mine = Row.Parts[Scope_.Domain];
-  if (smaller(Mine, Given.Amount) != Given.Amount) {
-    Gifts_.erase(Customer);
+  const ShareAmount OwnPart = Row.Parts[Context_.Domain];
+  if (componentMin(OwnPart, Pending.Amount) != Pending.Amount) {
+    Transfers_.erase(Customer);
     return;
   }
-  Row.move(Scope_.Domain, Given.To, Given.Amount);
-  write(Customer, Row, Known.Version, [this, Customer] {
-    Gifts_.erase(Customer);
+  Row.transfer(Context_.Domain, Pending.To, Pending.Amount);
+  write(Customer, Row, Cached.Version, [this, Customer] {
+    Transfers_.erase(Customer);
     if (OnChanged)
       OnChanged();
   });
@@ -239,25 +244,25 @@
 void ShareManager::write(const std::string &Customer, ShareRow Row,
                          std::int64_t Version, std::function<void()> Done) {
   Writing_ = true;
-  Cursor_ = Customer;
+  LastWrittenCustomer_ = Customer;
   Transaction Change;
   Change.WriteId = randomId();
   Change.Checks = {{rowKey(Customer), Version},
-                   {Scope_.EpochKey, Scope_.EpochVersion}};
+                   {Context_.EpochKey, Context_.EpochVersion}};
   Change.Writes = {{rowKey(Customer), toJson(Row)},
-                   {HeadKey, {{"by", Scope_.Domain}}}};
-  Rows_.commit(std::move(Change),
-               [Self = shared_from_this(), Customer, Row,
-                Done = std::move(Done)](Result<CommitOutcome> Outcome) {
-                 if (Self->Closed_)
-                   return;
-                 Self->Writing_ = false;
-                 if (Outcome && Outcome->committed())
-                   Self->Kept_[Customer] = Kept{Row, Outcome->Revision};
-                 else
-                   Self->Head_ = -1;
-                 Done();
-               });
+                   {HeadKey, {{"by", Context_.Domain}}}};
+  Rows_.commit(std::move(Change), [Self = shared_from_this(), Customer, Row,
+                                   Done = std::move(Done)](
+                                      Result<CommitOutcome> Outcome) {
+    if (Self->Closed_)
+      return;
+    Self->Writing_ = false;
+    if (Outcome && Outcome->committed())
+      Self->CachedRows_[Customer] = CachedRow{Row, Outcome->Revision};
+    else
+      Self->HeadVersion_ = -1;
+    Done();
+  });
 }
 
 } // namespace cuminroad
--- a/packages/daemon/src/ShareRow.cpp
+++ b/packages/daemon/src/ShareRow.cpp
@@ -35,12 +35,16 @@
 }
 
 /// One of the numbers of an amount.
-using Field = std::int64_t &(*)(ShareAmount &);
-constexpr Field Fields[] = {
-    [](ShareAmount &Of) -> std::int64_t & { return Of.Held.MilliCores; },
-    [](ShareAmount &Of) -> std::int64_t & { return Of.Held.MemoryMb; },
-    [](ShareAmount &Of) -> std::int64_t & { return Of.Held.Accelerators; },
-    [](ShareAmount &Of) -> std::int64_t & { return Of.Requests; }};
+using ComponentAccessor = std::int64_t &(*)(ShareAmount &);
+constexpr ComponentAccessor ComponentAccessors[] = {
+    [](ShareAmount &Amount) -> std::int64_t & {
+      return Amount.Held.MilliCores;
+    },
+    [](ShareAmount &Amount) -> std::int64_t & { return Amount.Held.MemoryMb; },
+    [](ShareAmount &Amount) -> std::int64_t & {
+      return Amount.Held.Accelerators;
+    },
+    [](ShareAmount &Amount) -> std::int64_t & { return Amount.Requests; }};
 
 } // namespace
 
@@ -56,12 +60,12 @@
   return *this;
 }
 
-bool ShareAmount::any() const {
+bool ShareAmount::anyPositive() const {
   return Held.MilliCores > 0 || Held.MemoryMb > 0 || Held.Accelerators > 0 ||
          Requests > 0;
 }
 
-ShareAmount smaller(const ShareAmount &Left, const ShareAmount &Right) {
+ShareAmount componentMin(const ShareAmount &Left, const ShareAmount &Right) {
   return ShareAmount{smaller(Left.Held, Right.Held),
                      std::min(Left.Requests, Right.Requests)};
 }
@@ -76,42 +80,44 @@
                      Clamp(Amount.Requests)};
 }
 
-void ShareRow::move(const std::string &From, const std::string &To,
-                    const ShareAmount &Amount) {
+void ShareRow::transfer(const std::string &From, const std::string &To,
+                        const ShareAmount &Amount) {
   Parts[From] -= Amount;
   Parts[To] += Amount;
-  ShareAmount &Want = Wants[To].Amount;
-  Want -= Amount;
-  Want = clampToZero(Want);
-  if (!Want.any())
-    Wants.erase(To);
-}
-
-void ShareRow::want(const std::string &Domain, const ShareAmount &Amount) {
-  std::int64_t Last = 0;
-  for (const auto &[Other, Want] : Wants)
-    Last = std::max(Last, Want.Order);
-  const auto [Found, New] = Wants.try_emplace(Domain);
+  ShareAmount &Remaining = TransferRequests[To].Amount;
+  Remaining -= Amount;
+  Remaining = clampToZero(Remaining);
+  if (!Remaining.anyPositive())
+    TransferRequests.erase(To);
+}
+
+void ShareRow::requestTransfer(const std::string &Domain,
+                               const ShareAmount &Amount) {
+  std::int64_t LastOrder = 0;
+  for (const auto &[Other, Request] : TransferRequests)
+    LastOrder = std::max(LastOrder, Request.Order);
+  const auto [Found, Inserted] = TransferRequests.try_emplace(Domain);
   Found->second.Amount = Amount;
-  if (New)
-    Found->second.Order = Last + 1;
+  if (Inserted)
+    Found->second.Order = LastOrder + 1;
 }
 
-std::string ShareRow::firstInLine() const {
-  const auto First = std::min_element(Wants.begin(), Wants.end(),
-                                      [](const auto &A, const auto &B) {
-                                        return A.second.Order < B.second.Order;
-                                      });
-  return First == Wants.end() ? std::string() : First->first;
+std::string ShareRow::nextRecipient() const {
+  const auto First =
+      std::min_element(TransferRequests.begin(), TransferRequests.end(),
+                       [](const auto &A, const auto &B) {
+                         return A.second.Order < B.second.Order;
+                       });
+  return First == TransferRequests.end() ? std::string() : First->first;
 }
 
 Result<ShareRow> parseShareRow(const nlohmann::json &Input) {
   try {
     ShareRow Row{
         readAmount(Input.at("limit")), readAmounts(Input.at("parts")), {}};
-    for (const auto &[Domain, Want] : Input.at("wants").items())
-      Row.Wants[Domain] =
-          ShareWant{readAmount(Want.at("amount")), Want.at("order")};
+    for (const auto &[Domain, Request] : Input.at("wants").items())
+      Row.TransferRequests[Domain] = TransferRequest{
+          readAmount(Request.at("amount")), Request.at("order")};
     return Row;
   } catch (const nlohmann::json::exception &Fault) {
     return failure(ErrorCode::MalformedInput, Fault.what());
@@ -119,69 +125,72 @@
 }
 
 nlohmann::json toJson(const ShareRow &Row) {
-  nlohmann::json Wants = nlohmann::json::object();
-  for (const auto &[Domain, Want] : Row.Wants)
-    Wants[Domain] = {{"amount", amountJson(Want.Amount)},
-                     {"order", Want.Order}};
+  nlohmann::json TransferRequests = nlohmann::json::object();
+  for (const auto &[Domain, Request] : Row.TransferRequests)
+    TransferRequests[Domain] = {{"amount", amountJson(Request.Amount)},
+                                {"order", Request.Order}};
   return {{"limit", amountJson(Row.Limit)},
           {"parts", amountsJson(Row.Parts)},
-          {"wants", Wants}};
+          {"wants", TransferRequests}};
 }
 
-ShareAmount limitOf(const ContractTerms &Terms) {
+ShareAmount transferableLimits(const ContractTerms &Terms) {
   return ShareAmount{Terms.MaxHeld, Terms.MaxRequests};
 }
 
 ShareRow evenShares(const ContractTerms &Terms, const std::string &Customer,
                     const std::vector<std::string> &Domains) {
   ShareRow Out;
-  Out.Limit = limitOf(Terms);
+  Out.Limit = transferableLimits(Terms);
   for (const std::string &Domain : Domains)
-    Out.Parts[Domain] = limitOf(domainShare(Terms, Customer, Domain, Domains));
+    Out.Parts[Domain] =
+        transferableLimits(domainShare(Terms, Customer, Domain, Domains));
   return Out;
 }
 
-ShareRow scaledTo(const ShareRow &Row, const ContractTerms &Terms,
-                  const std::string &Customer,
-                  const std::vector<std::string> &Domains) {
+ShareRow scaledToTerms(const ShareRow &Row, const ContractTerms &Terms,
+                       const std::string &Customer,
+                       const std::vector<std::string> &Domains) {
   ShareRow Out = Row;
   ShareRow Even = evenShares(Terms, Customer, Domains);
-  ShareAmount Now = limitOf(Terms);
-  for (const Field Part : Fields) {
-    const std::int64_t Before = Part(Out.Limit);
-    if (Part(Now) == 0 || Part(Now) == Before)
+  ShareAmount Now = transferableLimits(Terms);
+  for (const ComponentAccessor Component : ComponentAccessors) {
+    const std::int64_t Before = Component(Out.Limit);
+    if (Component(Now) == 0 || Component(Now) == Before)
       continue;
     for (const std::string &Domain : Domains) {
-      std::int64_t &Value = Part(Out.Parts[Domain]);
+      std::int64_t &Value = Component(Out.Parts[Domain]);
       // Limits stay below 1e9, so the product stays within 64 bits.
-      Value =
-          Before == 0 ? Part(Even.Parts[Domain]) : Value * Part(Now) / Before;
+      Value = Before == 0 ? Component(Even.Parts[Domain])
+                          : Value * Component(Now) / Before;
     }
-    Part(Out.Limit) = Part(Now);
+    Component(Out.Limit) = Component(Now);
   }
   return Out;
 }
 
-ContractTerms shareUnder(const ShareRow &Row, const ContractTerms &Terms,
-                         const std::string &Customer, const std::string &Domain,
-                         const std::vector<std::string> &Domains) {
-  const ShareRow Scaled = scaledTo(Row, Terms, Customer, Domains);
+ContractTerms termsForDomain(const ShareRow &Row, const ContractTerms &Terms,
+                             const std::string &Customer,
+                             const std::string &Domain,
+                             const std::vector<std::string> &Domains) {
+  const ShareRow Scaled = scaledToTerms(Row, Terms, Customer, Domains);
   const auto Found = Scaled.Parts.find(Domain);
   ContractTerms Out = Terms;
   // A part that the row keeps for later is more than a limit of 0.
-  const ShareAmount Part =
-      smaller(Found == Scaled.Parts.end() ? ShareAmount() : Found->second,
-              limitOf(Terms));
-  Out.MaxHeld = Part.Held;
-  Out.MaxRequests = Part.Requests;
+  const ShareAmount DomainPart =
+      componentMin(Found == Scaled.Parts.end() ? ShareAmount() : Found->second,
+                   transferableLimits(Terms));
+  Out.MaxHeld = DomainPart.Held;
+  Out.MaxRequests = DomainPart.Requests;
   return Out;
 }
 
-ShareAmount keptPart(const ContractTerms &Terms, const std::string &Customer,
-                     const std::string &Domain,
-                     const std::vector<std::string> &Domains) {
+ShareAmount reservedShare(const ContractTerms &Terms,
+                          const std::string &Customer,
+                          const std::string &Domain,
+                          const std::vector<std::string> &Domains) {
   const ShareAmount Even =
-      limitOf(domainShare(Terms, Customer, Domain, Domains));
+      transferableLimits(domainShare(Terms, Customer, Domain, Domains));
   ShareAmount Out;
   Out.Requests = Even.Requests / 2;
   if (Terms.Urgent)
--- a/packages/daemon/tests/ShareTest.cpp
+++ b/packages/daemon/tests/ShareTest.cpp
@@ -89,7 +89,7 @@
 };
 
 /// A domain that uses what it may, up to what it wants.
-struct Site final : ShareUse {
+struct Site final : DomainUsage {
   ShareAmount Wanted;
   ShareAmount Used;
   std::shared_ptr<ShareManager> Keeper;
@@ -100,11 +100,12 @@
     Out.Requests = std::max(Wanted.Requests, Used.Requests);
     return Out;
   }
-  ShareAmount bound(const std::string &) const override { return Used; }
-  bool certain() const override { return true; }
+  ShareAmount maxUsage(const std::string &) const override { return Used; }
+  bool usageFullyKnown() const override { return true; }
 
   void use() {
-    const ShareAmount May = limitOf(Keeper->share(Customer, Terms));
+    const ShareAmount May =
+        transferableLimits(Keeper->currentShare(Customer, Terms));
     const auto Grow = [](std::int64_t &Now, std::int64_t Want,
                          std::int64_t Limit) {
       Now = std::max(Now, std::min(Want, Limit));
@@ -138,7 +139,7 @@
     else
       Of.Terms = makeTerms(3000, 9);
     Of.Keeper = std::make_shared<ShareManager>(
-        Rows, Home, ShareScope{Domain, Domains, "epoch", 0}, Of);
+        Rows, Home, ShareManagerContext{Domain, Domains, "epoch", 0}, Of);
     Of.Keeper->setContracts({{Customer, Of.Terms}});
     Of.Keeper->start();
   }
@@ -212,8 +213,8 @@
     All.Home.step(Choice >> 8);
     for (const char *Domain : {"d1", "d2"}) {
       Site &Of = All.Sites[Domain];
-      if (limitOf(Of.Keeper->share(Customer, Of.Terms)).Held.MilliCores <
-          Of.Wanted.Held.MilliCores)
+      if (transferableLimits(Of.Keeper->currentShare(Customer, Of.Terms))
+              .Held.MilliCores < Of.Wanted.Held.MilliCores)
         continue;
       // The work runs, ends, and leaves the part to others.
       Served.insert(Domain);
@@ -224,21 +225,21 @@
 }
 
 BOOST_AUTO_TEST_CASE(scalingNeverGrowsTheSum) {
-  rc::check("scaling never grows the sum", [](std::uint16_t A, std::uint16_t B,
-                                              std::uint16_t C,
-                                              std::uint16_t To) {
-    ShareRow Row;
-    Row.Parts["d1"].Held.MilliCores = A;
-    Row.Parts["d2"].Held.MilliCores = B;
-    Row.Parts["d3"].Held.MilliCores = C;
-    Row.Limit.Held.MilliCores = A + B + C;
-    const ContractTerms Terms = makeTerms(To, 3);
-    std::int64_t Sum = 0;
-    for (const std::string &Domain : Domains)
-      Sum +=
-          shareUnder(Row, Terms, Customer, Domain, Domains).MaxHeld.MilliCores;
-    RC_ASSERT(Sum <= To);
-  });
+  rc::check(
+      "scaling never grows the sum",
+      [](std::uint16_t A, std::uint16_t B, std::uint16_t C, std::uint16_t To) {
+        ShareRow Row;
+        Row.Parts["d1"].Held.MilliCores = A;
+        Row.Parts["d2"].Held.MilliCores = B;
+        Row.Parts["d3"].Held.MilliCores = C;
+        Row.Limit.Held.MilliCores = A + B + C;
+        const ContractTerms Terms = makeTerms(To, 3);
+        std::int64_t Sum = 0;
+        for (const std::string &Domain : Domains)
+          Sum += termsForDomain(Row, Terms, Customer, Domain, Domains)
+                     .MaxHeld.MilliCores;
+        RC_ASSERT(Sum <= To);
+      });
 }
 
 BOOST_AUTO_TEST_CASE(evenSharesAddUpExactly) {
@@ -253,9 +254,9 @@
 
 BOOST_AUTO_TEST_CASE(rowSurvivesTheTable) {
   ShareRow Row = evenShares(makeTerms(100, 7), Customer, Domains);
-  Row.want("d2", ShareAmount{{}, 3});
+  Row.requestTransfer("d2", ShareAmount{{}, 3});
   const auto Back = parseShareRow(toJson(Row));
   BOOST_REQUIRE(Back);
   BOOST_CHECK(Back->Parts == Row.Parts);
-  BOOST_CHECK(Back->Wants == Row.Wants);
+  BOOST_CHECK(Back->TransferRequests == Row.TransferRequests);
 }
