--- a/packages/daemon/include/cuminroad/daemon/Ownership.h
+++ b/packages/daemon/include/cuminroad/daemon/Ownership.h
@@ -40,18 +40,18 @@
   void observe(const OwnerInfo &Other);
   /// A VM or the table showed that another daemon has \p Epoch, which may be
   /// this daemon's own number: stops being owner.
-  void supersede(std::int64_t Epoch);
+  void stepDown(std::int64_t Epoch);
   /// Becomes owner on the word of the VMs alone, while the table is down.
-  void takeWithoutTable();
+  void takeOverWithoutTable();
   /// This daemon must not become owner before \p Until.
-  void holdBack(TimePoint Until) { NotBefore_ = Until; }
+  void forbidTakeoverUntil(TimePoint Until) { TakeoverAllowedAt_ = Until; }
 
-  bool mine() const { return Mine_; }
+  bool isOwner() const { return IsOwner_; }
   const OwnerInfo &owner() const { return Owner_; }
   /// Whether the row in the table is this daemon's and its lease holds.
-  bool leaseHolds() const;
+  bool isLeaseValid() const;
   /// The version of the row that changes with the epoch only; 0 without one.
-  std::int64_t epochRowVersion() const { return EpochRow_; }
+  std::int64_t epochRowVersion() const { return EpochRowVersion_; }
   std::string epochKey() const;
 
   /// Called with whether an earlier owner existed.
@@ -60,12 +60,12 @@
 
 private:
   void poll();
-  void pollSoon();
-  void examine(const TableRow &Row);
-  void take(const TableRow &Row);
-  void renew();
-  void become(std::int64_t Epoch, bool Inherited);
-  void lose();
+  void schedulePoll();
+  void examineOwnerRow(const TableRow &Row);
+  void takeOver(const TableRow &Row);
+  void renewLease();
+  void becomeOwner(std::int64_t Epoch, bool Inherited);
+  void loseOwnership();
   nlohmann::json rowValue(std::int64_t Epoch) const;
   std::string ownerKey() const;
 
@@ -76,15 +76,15 @@
   const Settings &Config_;
   Identity Self_;
   OwnerInfo Owner_;
-  bool Mine_ = false;
+  bool IsOwner_ = false;
   bool Released_ = false;
-  TimePoint NotBefore_{};
-  std::int64_t SeenVersion_ = -1;
-  TimePoint SeenAt_{};
-  TimePoint ReadAt_{};
-  std::int64_t RowVersion_ = 0;
-  std::int64_t EpochRow_ = 0;
-  TimePoint LeaseEnds_{};
+  TimePoint TakeoverAllowedAt_{};
+  std::int64_t LastSeenRowVersion_ = -1;
+  TimePoint RowUnchangedSince_{};
+  TimePoint LastReadAt_{};
+  std::int64_t OwnerRowVersion_ = 0;
+  std::int64_t EpochRowVersion_ = 0;
+  TimePoint LeaseEndsAt_{};
 };
 
 } // namespace cuminroad
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -144,7 +144,7 @@
       Term);
   Parts_.Domain->OnStale = [this](std::int64_t Epoch) {
     // Later, since the owner that calls is ended by it.
-    Parts_.Control->post([this, Epoch] { Parts_.Owners.supersede(Epoch); });
+    Parts_.Control->post([this, Epoch] { Parts_.Owners.stepDown(Epoch); });
   };
   Parts_.Domain->OnGrantsChanged = [this] { sendNotices(); };
   Parts_.Domain->OnNudge = [this](const std::vector<std::string> &Names) {
@@ -270,12 +270,12 @@
 void EntryDaemon::take(const GrantReply &Message) {
   if (Message.Epoch < Parts_.Owners.owner().Epoch)
     return;
-  Takeover_.noteOwner();
+  Takeover_.recordOwnerContact();
   Door_.applyGrants(Message);
 }
 
 void EntryDaemon::take(const GrantNotice &Message) {
-  Takeover_.noteOwner();
+  Takeover_.recordOwnerContact();
   Parts_.Owners.observe(OwnerInfo{Message.Owner, "", Message.Http,
                                   Message.Address, Message.Epoch});
   askOwnerSoon();
--- a/packages/daemon/src/Ownership.cpp
+++ b/packages/daemon/src/Ownership.cpp
@@ -25,40 +25,41 @@
           {"epoch", Epoch}};
 }
 
-bool Ownership::leaseHolds() const {
-  return Mine_ && MonotonicClock_.now() < LeaseEnds_;
+bool Ownership::isLeaseValid() const {
+  return IsOwner_ && MonotonicClock_.now() < LeaseEndsAt_;
 }
 
 void Ownership::start() { poll(); }
 
-void Ownership::pollSoon() {
-  const milliseconds Pause =
-      Mine_ ? Config_.Times.OwnerRenewal : Config_.Times.OwnerPoll;
-  ControlLoop_.after(Pause, [this] { poll(); });
+void Ownership::schedulePoll() {
+  const milliseconds Delay =
+      IsOwner_ ? Config_.Times.OwnerRenewal : Config_.Times.OwnerPoll;
+  ControlLoop_.after(Delay, [this] { poll(); });
 }
 
 void Ownership::poll() {
   if (Released_)
     return;
-  if (Mine_ && RowVersion_ != 0)
-    return renew();
+  if (IsOwner_ && OwnerRowVersion_ != 0)
+    return renewLease();
   Rows_.read(ownerKey(), [this](Result<TableRow> Row) {
     if (Row && !Released_)
-      examine(*Row);
+      examineOwnerRow(*Row);
     else
-      pollSoon();
+      schedulePoll();
   });
 }
 
-void Ownership::examine(const TableRow &Row) {
+void Ownership::examineOwnerRow(const TableRow &Row) {
   const TimePoint Now = MonotonicClock_.now();
   // While the row can't be read, its owner can't renew it either, or renews it
   // unseen: that time doesn't count.
-  const bool Blind = Now - ReadAt_ > Config_.Times.OwnerLease / 2;
-  ReadAt_ = Now;
-  if (Row.Version != SeenVersion_ || Blind) {
-    SeenVersion_ = Row.Version;
-    SeenAt_ = Now;
+  const bool ReadsInterrupted =
+      Now - LastReadAt_ > Config_.Times.OwnerLease / 2;
+  LastReadAt_ = Now;
+  if (Row.Version != LastSeenRowVersion_ || ReadsInterrupted) {
+    LastSeenRowVersion_ = Row.Version;
+    RowUnchangedSince_ = Now;
   }
   if (Row.Version != 0) {
     OwnerInfo Other{Row.Value.value("holder", ""),
@@ -73,18 +74,18 @@
     if (!Vacant)
       observe(Other);
     Owner_.Epoch = std::max(Owner_.Epoch, Other.Epoch);
-    const bool Lapsed = Now - SeenAt_ > Config_.Times.OwnerLease;
+    const bool Lapsed = Now - RowUnchangedSince_ > Config_.Times.OwnerLease;
     // An owner that was chosen without the table writes itself in.
-    const bool Newer = Mine_ && Owner_.Epoch > Other.Epoch;
-    if (!Vacant && !Lapsed && !Newer)
-      return pollSoon();
+    const bool HoldsNewerEpoch = IsOwner_ && Owner_.Epoch > Other.Epoch;
+    if (!Vacant && !Lapsed && !HoldsNewerEpoch)
+      return schedulePoll();
   }
-  if (Now < NotBefore_)
-    return pollSoon();
-  take(Row);
+  if (Now < TakeoverAllowedAt_)
+    return schedulePoll();
+  takeOver(Row);
 }
 
-void Ownership::take(const TableRow &Row) {
+void Ownership::takeOver(const TableRow &Row) {
   const bool Inherited = Row.Version != 0;
   const std::int64_t Epoch = Owner_.Epoch + 1;
   const TimePoint SentAt = MonotonicClock_.now();
@@ -96,20 +97,20 @@
   Rows_.commit(std::move(Change),
                [this, Epoch, Inherited, SentAt](Result<CommitOutcome> Outcome) {
                  if (Outcome && Outcome->committed() && !Released_) {
-                   RowVersion_ = Outcome->Revision;
-                   EpochRow_ = Outcome->Revision;
-                   LeaseEnds_ = SentAt + Config_.Times.OwnerLease;
+                   OwnerRowVersion_ = Outcome->Revision;
+                   EpochRowVersion_ = Outcome->Revision;
+                   LeaseEndsAt_ = SentAt + Config_.Times.OwnerLease;
                    // An owner chosen without the table begins a new term.
-                   if (Mine_ && OnLost)
+                   if (IsOwner_ && OnLost)
                      OnLost();
-                   become(Epoch, Inherited);
+                   becomeOwner(Epoch, Inherited);
                  }
-                 pollSoon();
+                 schedulePoll();
                });
 }
 
-void Ownership::become(std::int64_t Epoch, bool Inherited) {
-  Mine_ = true;
+void Ownership::becomeOwner(std::int64_t Epoch, bool Inherited) {
+  IsOwner_ = true;
   Owner_ =
       OwnerInfo{Self_.Name, Self_.Incarnation, Self_.Http, Self_.Peer, Epoch};
   Events_.record(EventId::OwnershipTaken, Self_.Domain,
@@ -118,58 +119,58 @@
     OnTaken(Inherited);
 }
 
-void Ownership::renew() {
+void Ownership::renewLease() {
   const TimePoint SentAt = MonotonicClock_.now();
   Transaction Change;
   Change.WriteId = randomId();
-  Change.Checks = {{ownerKey(), RowVersion_}};
+  Change.Checks = {{ownerKey(), OwnerRowVersion_}};
   Change.Writes = {{ownerKey(), rowValue(Owner_.Epoch)}};
   Rows_.commit(std::move(Change),
                [this, SentAt](Result<CommitOutcome> Outcome) {
                  if (Outcome && Outcome->committed()) {
-                   RowVersion_ = Outcome->Revision;
-                   LeaseEnds_ = SentAt + Config_.Times.OwnerLease;
-                 } else if (Outcome && Mine_) {
-                   lose();
+                   OwnerRowVersion_ = Outcome->Revision;
+                   LeaseEndsAt_ = SentAt + Config_.Times.OwnerLease;
+                 } else if (Outcome && IsOwner_) {
+                   loseOwnership();
                  }
-                 pollSoon();
+                 schedulePoll();
                });
 }
 
 void Ownership::observe(const OwnerInfo &Other) {
-  const bool Same =
+  const bool IsSelf =
       Other.Holder == Self_.Name && Other.Incarnation == Self_.Incarnation;
-  if (Same || Other.Epoch < Owner_.Epoch)
+  if (IsSelf || Other.Epoch < Owner_.Epoch)
     return;
-  if (Mine_) {
+  if (IsOwner_) {
     if (Other.Epoch == Owner_.Epoch)
       return;
-    lose();
+    loseOwnership();
   }
   Owner_ = Other;
 }
 
-void Ownership::supersede(std::int64_t Epoch) {
+void Ownership::stepDown(std::int64_t Epoch) {
   // The number is not raised beyond what was seen: a higher one would make
   // this daemon deaf to the real owner.
-  if (Mine_ && Epoch >= Owner_.Epoch)
-    lose();
+  if (IsOwner_ && Epoch >= Owner_.Epoch)
+    loseOwnership();
   Owner_.Epoch = std::max(Owner_.Epoch, Epoch);
 }
 
-void Ownership::takeWithoutTable() {
-  if (Mine_ || Released_ || MonotonicClock_.now() < NotBefore_)
+void Ownership::takeOverWithoutTable() {
+  if (IsOwner_ || Released_ || MonotonicClock_.now() < TakeoverAllowedAt_)
     return;
-  RowVersion_ = 0;
-  EpochRow_ = 0;
-  become(Owner_.Epoch + 1, true);
+  OwnerRowVersion_ = 0;
+  EpochRowVersion_ = 0;
+  becomeOwner(Owner_.Epoch + 1, true);
 }
 
-void Ownership::lose() {
-  Mine_ = false;
-  RowVersion_ = 0;
-  EpochRow_ = 0;
-  SeenVersion_ = -1;
+void Ownership::loseOwnership() {
+  IsOwner_ = false;
+  OwnerRowVersion_ = 0;
+  EpochRowVersion_ = 0;
+  LastSeenRowVersion_ = -1;
   Events_.record(EventId::OwnershipLost, Self_.Domain,
                  fmt::format("epoch {}", Owner_.Epoch));
   if (OnLost)
@@ -178,21 +179,21 @@
 
 void Ownership::release(std::function<void()> Done) {
   Released_ = true;
-  const bool Held = Mine_ && RowVersion_ != 0;
-  if (Mine_) {
-    Mine_ = false;
+  const bool HoldsRow = IsOwner_ && OwnerRowVersion_ != 0;
+  if (IsOwner_) {
+    IsOwner_ = false;
     Events_.record(EventId::OwnershipReleased, Self_.Domain);
     if (OnLost)
       OnLost();
   }
-  if (!Held)
+  if (!HoldsRow)
     return Done();
   // The row stays, with no holder, so that the epoch goes on rising.
   nlohmann::json Vacant = rowValue(Owner_.Epoch);
   Vacant["holder"] = "";
   Transaction Change;
   Change.WriteId = randomId();
-  Change.Checks = {{ownerKey(), RowVersion_}};
+  Change.Checks = {{ownerKey(), OwnerRowVersion_}};
   Change.Writes = {{ownerKey(), Vacant}};
   Rows_.commit(std::move(Change),
                [Done = std::move(Done)](Result<CommitOutcome>) { Done(); });
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -11,77 +11,81 @@
 namespace {
 
 constexpr milliseconds CheckInterval{1000};
-constexpr milliseconds AskTimeout{1000};
+constexpr milliseconds QueryTimeout{1000};
 /// Beyond the time for which a VM may hold a renewal back.
-constexpr milliseconds WitnessMargin{2000};
+constexpr milliseconds RenewalMargin{2000};
 
 } // namespace
 
 TablelessTakeover::TablelessTakeover(DaemonParts &Parts) : Parts_(Parts) {}
 
 void TablelessTakeover::start() {
-  noteOwner();
-  checkSoon();
+  recordOwnerContact();
+  scheduleCheck();
 }
 
-void TablelessTakeover::checkSoon() {
+void TablelessTakeover::scheduleCheck() {
   Parts_.Control->after(CheckInterval, [this] { check(); });
 }
 
-milliseconds TablelessTakeover::patience() const {
-  return Parts_.Config.Times.TaskRenewal + WitnessMargin;
+milliseconds TablelessTakeover::silenceLimit() const {
+  return Parts_.Config.Times.TaskRenewal + RenewalMargin;
 }
 
-bool TablelessTakeover::due() const {
-  return !Parts_.Owners.mine() && !Parts_.Rows.reachable() &&
+bool TablelessTakeover::isDue() const {
+  return !Parts_.Owners.isOwner() && !Parts_.Rows.reachable() &&
          !Parts_.LastListing.Vms.empty() &&
-         Parts_.Time.now() - HeardAt_ > patience();
+         Parts_.Time.now() - LastContactAt_ > silenceLimit();
 }
 
 void TablelessTakeover::check() {
-  if (!due())
-    return checkSoon();
-  const auto Round = std::make_shared<Poll>();
-  Round->Open = Parts_.LastListing.Vms.size();
+  if (!isDue())
+    return scheduleCheck();
+  const auto Round = std::make_shared<PollRound>();
+  Round->Outstanding = Parts_.LastListing.Vms.size();
   for (const ListedVm &Vm : Parts_.LastListing.Vms)
-    ask(Vm.Spec, Round);
+    queryVm(Vm.Spec, Round);
 }
 
-void TablelessTakeover::ask(const VmSpec &Vm,
-                            const std::shared_ptr<Poll> &Round) {
+void TablelessTakeover::queryVm(const VmSpec &Vm,
+                                const std::shared_ptr<PollRound> &Round) {
   HttpCall Call;
   Call.Url = Parts_.Config.reachable(Vm.Url + "/holder");
-  Call.Timeout = AskTimeout;
+  Call.Timeout = QueryTimeout;
   Parts_.ControlClient->send(std::move(Call), [this, Round](HttpResult Answer) {
-    Parts_.Control->post(
-        [this, Round, Answer = std::move(Answer)] { take(Answer, Round); });
+    Parts_.Control->post([this, Round, Answer = std::move(Answer)] {
+      addResponse(Answer, Round);
+    });
   });
 }
 
-void TablelessTakeover::take(const HttpResult &Answer,
-                             const std::shared_ptr<Poll> &Round) {
+void TablelessTakeover::addResponse(const HttpResult &Answer,
+                                    const std::shared_ptr<PollRound> &Round) {
   if (Answer && Answer->Status == 200) {
     const auto Body = parseJson(Answer->Body, false);
     if (Body) {
-      const milliseconds Age(Body->value("renewed_ms_ago", std::int64_t(0)));
-      ++(Age > patience() ? Round->Stale : Round->Fresh);
-      Round->Epoch = std::max(
-          Round->Epoch, epochOfFence(Body->value("fence", std::int64_t(0))));
+      const milliseconds SinceRenewal(
+          Body->value("renewed_ms_ago", std::int64_t(0)));
+      ++(SinceRenewal > silenceLimit() ? Round->StaleLeases
+                                       : Round->FreshLeases);
+      Round->HighestEpoch =
+          std::max(Round->HighestEpoch,
+                   epochOfFence(Body->value("fence", std::int64_t(0))));
     }
   }
-  if (--Round->Open == 0)
-    conclude(*Round);
+  if (--Round->Outstanding == 0)
+    finishRound(*Round);
 }
 
-void TablelessTakeover::conclude(const Poll &Round) {
-  const bool Majority = Round.Stale * 2 > Parts_.LastListing.Vms.size();
-  if (due() && Majority && Round.Fresh == 0) {
+void TablelessTakeover::finishRound(const PollRound &Round) {
+  const bool Majority = Round.StaleLeases * 2 > Parts_.LastListing.Vms.size();
+  if (isDue() && Majority && Round.FreshLeases == 0) {
     OwnerInfo Last = Parts_.Owners.owner();
-    Last.Epoch = std::max(Last.Epoch, Round.Epoch);
+    Last.Epoch = std::max(Last.Epoch, Round.HighestEpoch);
     Parts_.Owners.observe(Last);
-    Parts_.Owners.takeWithoutTable();
+    Parts_.Owners.takeOverWithoutTable();
   }
-  checkSoon();
+  scheduleCheck();
 }
 
 } // namespace cuminroad
--- a/packages/daemon/src/TablelessTakeover.h
+++ b/packages/daemon/src/TablelessTakeover.h
@@ -16,27 +16,28 @@
   explicit TablelessTakeover(DaemonParts &Parts);
   void start();
   /// The owner was heard of.
-  void noteOwner() { HeardAt_ = Parts_.Time.now(); }
+  void recordOwnerContact() { LastContactAt_ = Parts_.Time.now(); }
 
 private:
   /// What the VMs said in one round.
-  struct Poll {
-    std::size_t Open = 0;
-    std::size_t Stale = 0;
-    std::size_t Fresh = 0;
-    std::int64_t Epoch = 0;
+  struct PollRound {
+    std::size_t Outstanding = 0;
+    std::size_t StaleLeases = 0;
+    std::size_t FreshLeases = 0;
+    std::int64_t HighestEpoch = 0;
   };
 
   void check();
-  void checkSoon();
-  bool due() const;
-  milliseconds patience() const;
-  void ask(const VmSpec &Vm, const std::shared_ptr<Poll> &Round);
-  void take(const HttpResult &Answer, const std::shared_ptr<Poll> &Round);
-  void conclude(const Poll &Round);
+  void scheduleCheck();
+  bool isDue() const;
+  milliseconds silenceLimit() const;
+  void queryVm(const VmSpec &Vm, const std::shared_ptr<PollRound> &Round);
+  void addResponse(const HttpResult &Answer,
+                   const std::shared_ptr<PollRound> &Round);
+  void finishRound(const PollRound &Round);
 
   DaemonParts &Parts_;
-  TimePoint HeardAt_{};
+  TimePoint LastContactAt_{};
 };
 
 } // namespace cuminroad
--- a/packages/daemon/tests/OwnershipTest.cpp
+++ b/packages/daemon/tests/OwnershipTest.cpp
@@ -46,12 +46,12 @@
   int Lost = 0;
   Owners.OnLost = [&Lost] { ++Lost; };
   Owners.start();
-  BOOST_REQUIRE(Owners.mine());
+  BOOST_REQUIRE(Owners.isOwner());
   const std::int64_t Epoch = Owners.owner().Epoch;
   // Three VMs are held by another daemon under the same epoch.
   for (int Vm = 0; Vm < 3; ++Vm)
-    Owners.supersede(Epoch);
-  BOOST_CHECK(!Owners.mine());
+    Owners.stepDown(Epoch);
+  BOOST_CHECK(!Owners.isOwner());
   BOOST_CHECK_EQUAL(Lost, 1);
   Owners.observe(OwnerInfo{"d1-b", "2", "h:2", "p:2", Epoch + 1});
   BOOST_CHECK_EQUAL(Owners.owner().Peer, "p:2");
