--- a/packages/daemon/include/cuminroad/daemon/ConfigManager.h
+++ b/packages/daemon/include/cuminroad/daemon/ConfigManager.h
@@ -19,7 +19,7 @@
 namespace cuminroad {
 
 /// A contract's row with its version in the table.
-struct KeptContract {
+struct VersionedContract {
   ContractRecord Record;
   std::int64_t RowVersion = 0;
   /// When this daemon first saw the pending change.
@@ -45,7 +45,7 @@
   /// Whether every daemon applies the accepted terms.
   bool InForce = false;
   /// The daemons that have not acknowledged it.
-  std::vector<std::string> WaitsFor;
+  std::vector<std::string> UnacknowledgedBy;
 };
 
 /// Keeps this daemon's membership and its copy of all contracts, and brings
@@ -73,35 +73,35 @@
   /// failed, or is not in force after the time within which it should be.
   void propose(ContractChange Change, ChangeDone Done);
   /// Removes the membership of this daemon; the last thing of a shutdown.
-  void leave(std::function<void()> Done);
+  void deregister(std::function<void()> Done);
   /// Removes daemons whose VM is finally gone.
   void removeMembers(const std::vector<std::string> &Names);
 
   /// Whether all contracts have been read since the start.
   bool ready() const { return Ready_; }
-  const std::map<std::string, KeptContract> &contracts() const {
+  const std::map<std::string, VersionedContract> &contracts() const {
     return Contracts_;
   }
-  const MemberRegistry &members() const { return MemberBook_; }
+  const MemberRegistry &members() const { return MemberRegistry_; }
   /// \returns the version of the configuration that this daemon applies.
-  std::int64_t appliedVersion() const { return Applied_; }
+  std::int64_t appliedVersion() const { return AppliedHead_; }
   /// Called after each change of terms or members.
   std::function<void()> OnChanged;
   /// Called when another process has taken this daemon's name.
   std::function<void()> OnReplaced;
 
 private:
-  struct Waiting {
+  struct WaitingProposal {
     std::string Customer;
     std::string ChangeId;
     ChangeDone Done;
-    TimePoint Since{};
+    TimePoint ProposedAt{};
   };
 
-  void registerSelf();
-  nlohmann::json memberValue(std::int64_t Acked) const;
+  void registerMember();
+  nlohmann::json memberValue(std::int64_t AcknowledgedHead) const;
   void poll();
-  void pollRegularly();
+  void pollPeriodically();
   void finishPoll();
   void reload(std::int64_t Head);
   void applyContracts(const std::vector<TableRow> &Rows);
@@ -110,10 +110,10 @@
   void publish();
   void writeProposal(const ContractChange &Change, const TableRow &Row,
                      ChangeDone Done);
-  void advancePending();
+  void advancePendingChanges();
   void acceptIfAcknowledged(const std::vector<TableRow> &Members);
-  void accept(const KeptContract &Kept);
-  void answerWaiting(const std::vector<TableRow> &Members);
+  void accept(const VersionedContract &Contract);
+  void completeProposals(const std::vector<TableRow> &Members);
   static RowWrite headWrite(const std::string &Reason);
 
   Table &Rows_;
@@ -122,20 +122,20 @@
   EventLog &Events_;
   const Settings &Config_;
   Identity Self_;
-  ContractRegistry &Book_;
-  MemberRegistry &MemberBook_;
-  std::map<std::string, KeptContract> Contracts_;
-  std::int64_t SelfVersion_ = 0;
-  std::int64_t Acked_ = 0;
-  std::int64_t Applied_ = 0;
+  ContractRegistry &ContractRegistry_;
+  MemberRegistry &MemberRegistry_;
+  std::map<std::string, VersionedContract> Contracts_;
+  std::int64_t MemberRowVersion_ = 0;
+  std::int64_t AcknowledgedHead_ = 0;
+  std::int64_t AppliedHead_ = 0;
   bool Ready_ = false;
-  bool Advancing_ = false;
+  bool ReadingAcknowledgements_ = false;
   bool Polling_ = false;
   /// Contracts changed since the last acknowledgement.
   bool ContractsChanged_ = true;
   bool PollAgain_ = false;
-  bool Leaving_ = false;
-  std::vector<Waiting> Waiting_;
+  bool Deregistering_ = false;
+  std::vector<WaitingProposal> WaitingProposals_;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/include/cuminroad/daemon/RetryBudget.h
+++ b/packages/daemon/include/cuminroad/daemon/RetryBudget.h
@@ -10,7 +10,7 @@
 class RetryBudget {
 public:
   /// Adds the share of a retry that each new request earns.
-  void earn() { Tokens_ = std::min(Tokens_ + PerRequest, Max); }
+  void earn() { Tokens_ = std::min(Tokens_ + TokensPerRequest, MaxTokens); }
   /// \returns whether a retry may be made, and takes it from the budget.
   bool spend() {
     if (Tokens_ < 1.0)
@@ -20,9 +20,9 @@
   }
 
 private:
-  static constexpr double PerRequest = 0.2;
-  static constexpr double Max = 50.0;
-  double Tokens_ = Max;
+  static constexpr double TokensPerRequest = 0.2;
+  static constexpr double MaxTokens = 50.0;
+  double Tokens_ = MaxTokens;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -72,7 +72,7 @@
           {"wait_reason", waitReasonName(View.Reason)}};
 }
 
-nlohmann::json contractJson(const KeptContract &Kept) {
+nlohmann::json contractJson(const VersionedContract &Kept) {
   nlohmann::json Out = toJson(Kept.Record);
   if (const auto Effective = Kept.Record.effective())
     Out["in_force"] = toJson(*Effective);
@@ -329,7 +329,7 @@
                       {{"change_id", Got->ChangeId},
                        {"accepted", Got->Accepted},
                        {"in_force_everywhere", Got->InForce},
-                       {"waits_for", Got->WaitsFor},
+                       {"waits_for", Got->UnacknowledgedBy},
                        {"contract", toJson(Got->Record)}}));
   });
 }
--- a/packages/daemon/src/ConfigManager.cpp
+++ b/packages/daemon/src/ConfigManager.cpp
@@ -17,10 +17,10 @@
 constexpr milliseconds AdvanceInterval{250};
 /// A change whose proposer has not completed it by then is completed by any
 /// daemon.
-constexpr milliseconds ProposerTime{3000};
+constexpr milliseconds ProposerTimeout{3000};
 /// Changes are to be in force everywhere within this time; a call that
 /// proposes one waits no longer.
-constexpr milliseconds InForceWithin{16000};
+constexpr milliseconds InForceTimeout{16000};
 
 std::string contractKey(const std::string &Customer) {
   return "contract/" + Customer;
@@ -43,31 +43,31 @@
                              ContractRegistry &Contracts,
                              MemberRegistry &Members)
     : Rows_(Rows), ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
-      Events_(Events), Config_(Config), Self_(Self), Book_(Contracts),
-      MemberBook_(Members) {}
+      Events_(Events), Config_(Config), Self_(Self),
+      ContractRegistry_(Contracts), MemberRegistry_(Members) {}
 
 RowWrite ConfigManager::headWrite(const std::string &Reason) {
   return RowWrite{HeadKey, {{"reason", Reason}}};
 }
 
-nlohmann::json ConfigManager::memberValue(std::int64_t Acked) const {
+nlohmann::json ConfigManager::memberValue(std::int64_t AcknowledgedHead) const {
   return {{"incarnation", Self_.Incarnation},
           {"domain", Self_.Domain},
           {"http", Self_.Http},
           {"peer", Self_.Peer},
-          {"acked", Acked}};
+          {"acked", AcknowledgedHead}};
 }
 
 void ConfigManager::start() {
-  registerSelf();
-  pollRegularly();
-  advancePending();
+  registerMember();
+  pollPeriodically();
+  advancePendingChanges();
 }
 
-void ConfigManager::registerSelf() {
+void ConfigManager::registerMember() {
   Rows_.read(memberKey(Self_.Name), [this](Result<TableRow> Row) {
     if (!Row) {
-      ControlLoop_.after(RetryDelay, [this] { registerSelf(); });
+      ControlLoop_.after(RetryDelay, [this] { registerMember(); });
       return;
     }
     Transaction Change;
@@ -76,21 +76,21 @@
     Change.Writes = {{Row->Key, memberValue(0)}, headWrite("member")};
     Rows_.commit(std::move(Change), [this](Result<CommitOutcome> Outcome) {
       if (!Outcome || !Outcome->committed()) {
-        ControlLoop_.after(RetryDelay, [this] { registerSelf(); });
+        ControlLoop_.after(RetryDelay, [this] { registerMember(); });
         return;
       }
-      SelfVersion_ = Outcome->Revision;
-      Acked_ = 0;
+      MemberRowVersion_ = Outcome->Revision;
+      AcknowledgedHead_ = 0;
       ContractsChanged_ = true;
-      Applied_ = 0;
+      AppliedHead_ = 0;
       poll();
     });
   });
 }
 
-void ConfigManager::pollRegularly() {
-  ControlLoop_.after(Config_.Times.ConfigPoll, [this] { pollRegularly(); });
-  if (SelfVersion_ != 0 && !Leaving_)
+void ConfigManager::pollPeriodically() {
+  ControlLoop_.after(Config_.Times.ConfigPoll, [this] { pollPeriodically(); });
+  if (MemberRowVersion_ != 0 && !Deregistering_)
     poll();
 }
 
@@ -101,7 +101,7 @@
   }
   Polling_ = true;
   Rows_.read(HeadKey, [this](Result<TableRow> Head) {
-    if (Head && Head->Version != Applied_)
+    if (Head && Head->Version != AppliedHead_)
       reload(Head->Version);
     else
       finishPoll();
@@ -125,10 +125,10 @@
         return finishPoll();
       applyContracts(Rows);
       applyMembers(*Members);
-      Applied_ = Head;
+      AppliedHead_ = Head;
       Ready_ = true;
       publish();
-      if (ContractsChanged_ && Acked_ < Head)
+      if (ContractsChanged_ && AcknowledgedHead_ < Head)
         acknowledge(Head);
       finishPoll();
     });
@@ -136,17 +136,17 @@
 }
 
 void ConfigManager::applyContracts(const std::vector<TableRow> &Rows) {
-  std::map<std::string, KeptContract> New;
+  std::map<std::string, VersionedContract> New;
   for (const TableRow &Row : Rows) {
     auto Record = parseContractRecord(Row.Value);
     if (!Record)
       continue;
     const auto Old = Contracts_.find(Record->Customer);
-    const bool Known = Old != Contracts_.end();
-    KeptContract Kept{*Record, Row.Version, MonotonicClock_.now()};
-    if (Known && Old->second.RowVersion == Row.Version) {
-      Kept.PendingSince = Old->second.PendingSince;
-      New.emplace(Record->Customer, std::move(Kept));
+    const bool WasKnown = Old != Contracts_.end();
+    VersionedContract Contract{*Record, Row.Version, MonotonicClock_.now()};
+    if (WasKnown && Old->second.RowVersion == Row.Version) {
+      Contract.PendingSince = Old->second.PendingSince;
+      New.emplace(Record->Customer, std::move(Contract));
       continue;
     }
     ContractsChanged_ = true;
@@ -154,7 +154,7 @@
         EventId::ContractApplied, Record->Customer,
         fmt::format("version {}{}", Record->Version,
                     Record->Pending ? " with a pending change" : ""));
-    New.emplace(Record->Customer, std::move(Kept));
+    New.emplace(Record->Customer, std::move(Contract));
   }
   Contracts_ = std::move(New);
 }
@@ -169,38 +169,38 @@
   const bool Replaced =
       Own != Members.end() && Own->second.Incarnation != Self_.Incarnation;
   const bool Removed = Own == Members.end();
-  MemberBook_.publish(std::move(Members));
-  if (Leaving_)
+  MemberRegistry_.publish(std::move(Members));
+  if (Deregistering_)
     return;
   if (Replaced && OnReplaced)
     OnReplaced();
   else if (Removed)
-    registerSelf();
+    registerMember();
 }
 
 void ConfigManager::acknowledge(std::int64_t Head) {
   Transaction Change;
   Change.WriteId = randomId();
-  Change.Checks = {{memberKey(Self_.Name), SelfVersion_}};
+  Change.Checks = {{memberKey(Self_.Name), MemberRowVersion_}};
   Change.Writes = {{memberKey(Self_.Name), memberValue(Head)}};
   Rows_.commit(std::move(Change), [this, Head](Result<CommitOutcome> Outcome) {
     if (Outcome && Outcome->committed()) {
-      SelfVersion_ = Outcome->Revision;
-      Acked_ = Head;
+      MemberRowVersion_ = Outcome->Revision;
+      AcknowledgedHead_ = Head;
       ContractsChanged_ = false;
       return;
     }
     // Read everything again: the row may have been replaced or removed.
-    Applied_ = 0;
+    AppliedHead_ = 0;
   });
 }
 
 void ConfigManager::publish() {
   ContractTermsByCustomer Terms;
-  for (const auto &[Customer, Kept] : Contracts_)
-    if (const auto Effective = Kept.Record.effective())
+  for (const auto &[Customer, Contract] : Contracts_)
+    if (const auto Effective = Contract.Record.effective())
       Terms.emplace(Customer, *Effective);
-  Book_.publish(std::move(Terms));
+  ContractRegistry_.publish(std::move(Terms));
   if (OnChanged)
     OnChanged();
 }
@@ -220,10 +220,10 @@
   ContractRecord Record;
   Record.Customer = Change.Customer;
   if (Row.Version != 0) {
-    auto Present = parseContractRecord(Row.Value);
-    if (!Present)
-      return Done(tl::unexpected(Present.error()));
-    Record = *Present;
+    auto Current = parseContractRecord(Row.Value);
+    if (!Current)
+      return Done(tl::unexpected(Current.error()));
+    Record = *Current;
   }
   if (Record.Pending) {
     Events_.record(EventId::ContractConflict, Change.Customer, "pending");
@@ -252,27 +252,28 @@
                           "another operator's change came first"));
     }
     Events_.record(EventId::ContractProposed, Change.Customer, ChangeId);
-    Waiting_.push_back(
-        Waiting{Change.Customer, ChangeId, Done, MonotonicClock_.now()});
+    WaitingProposals_.push_back(WaitingProposal{Change.Customer, ChangeId, Done,
+                                                MonotonicClock_.now()});
     poll();
   });
 }
 
-void ConfigManager::advancePending() {
-  ControlLoop_.after(AdvanceInterval, [this] { advancePending(); });
+void ConfigManager::advancePendingChanges() {
+  ControlLoop_.after(AdvanceInterval, [this] { advancePendingChanges(); });
   const bool Due = std::any_of(
       Contracts_.begin(), Contracts_.end(), [this](const auto &Entry) {
         return Entry.second.Record.Pending &&
-               MonotonicClock_.now() - Entry.second.PendingSince > ProposerTime;
+               MonotonicClock_.now() - Entry.second.PendingSince >
+                   ProposerTimeout;
       });
-  if (Advancing_ || (Waiting_.empty() && !Due))
+  if (ReadingAcknowledgements_ || (WaitingProposals_.empty() && !Due))
     return;
-  Advancing_ = true;
+  ReadingAcknowledgements_ = true;
   Rows_.scan("member/", [this](Result<std::vector<TableRow>> Members) {
-    Advancing_ = false;
+    ReadingAcknowledgements_ = false;
     if (Members)
       acceptIfAcknowledged(*Members);
-    answerWaiting(Members ? *Members : std::vector<TableRow>());
+    completeProposals(Members ? *Members : std::vector<TableRow>());
   });
 }
 
@@ -285,27 +286,30 @@
 }
 
 void ConfigManager::acceptIfAcknowledged(const std::vector<TableRow> &Members) {
-  for (const auto &[Customer, Kept] : Contracts_) {
-    if (!Kept.Record.Pending || Members.empty())
+  for (const auto &[Customer, Contract] : Contracts_) {
+    if (!Contract.Record.Pending || Members.empty())
       continue;
-    const std::string &ChangeId = Kept.Record.Pending->ChangeId;
-    const bool Ours = std::any_of(
-        Waiting_.begin(), Waiting_.end(),
-        [&](const Waiting &Entry) { return Entry.ChangeId == ChangeId; });
+    const std::string &ChangeId = Contract.Record.Pending->ChangeId;
+    const bool ProposedHere =
+        std::any_of(WaitingProposals_.begin(), WaitingProposals_.end(),
+                    [&](const WaitingProposal &Entry) {
+                      return Entry.ChangeId == ChangeId;
+                    });
     const bool Overdue =
-        MonotonicClock_.now() - Kept.PendingSince > ProposerTime;
-    if ((Ours || Overdue) && allAcknowledged(Members, Kept.RowVersion))
-      accept(Kept);
+        MonotonicClock_.now() - Contract.PendingSince > ProposerTimeout;
+    if ((ProposedHere || Overdue) &&
+        allAcknowledged(Members, Contract.RowVersion))
+      accept(Contract);
   }
 }
 
-void ConfigManager::accept(const KeptContract &Kept) {
-  ContractRecord Record = Kept.Record;
+void ConfigManager::accept(const VersionedContract &Contract) {
+  ContractRecord Record = Contract.Record;
   const std::string ChangeId = Record.Pending->ChangeId;
   Record.accept();
   Transaction Change;
   Change.WriteId = randomId();
-  Change.Checks = {{contractKey(Record.Customer), Kept.RowVersion}};
+  Change.Checks = {{contractKey(Record.Customer), Contract.RowVersion}};
   Change.Writes = {{contractKey(Record.Customer), toJson(Record)},
                    headWrite("acceptance")};
   Rows_.commit(std::move(Change),
@@ -317,10 +321,10 @@
                });
 }
 
-void ConfigManager::answerWaiting(const std::vector<TableRow> &Members) {
-  std::vector<Waiting> Still;
+void ConfigManager::completeProposals(const std::vector<TableRow> &Members) {
+  std::vector<WaitingProposal> Remaining;
   std::vector<std::pair<ChangeDone, ChangeResult>> Answers;
-  for (Waiting &Entry : Waiting_) {
+  for (WaitingProposal &Entry : WaitingProposals_) {
     const auto Found = Contracts_.find(Entry.Customer);
     ChangeResult Out;
     Out.ChangeId = Entry.ChangeId;
@@ -334,25 +338,27 @@
       for (const TableRow &Row : Members)
         if (Row.Value.value("acked", std::int64_t(0)) <
             Found->second.RowVersion)
-          Out.WaitsFor.push_back(readMember(Row).Name);
+          Out.UnacknowledgedBy.push_back(readMember(Row).Name);
     }
     // Acknowledgements of an accepted row say that its new terms apply.
-    Out.InForce = Out.Accepted && !Members.empty() && Out.WaitsFor.empty();
-    if (Out.InForce || MonotonicClock_.now() - Entry.Since > InForceWithin)
+    Out.InForce =
+        Out.Accepted && !Members.empty() && Out.UnacknowledgedBy.empty();
+    if (Out.InForce ||
+        MonotonicClock_.now() - Entry.ProposedAt > InForceTimeout)
       Answers.emplace_back(std::move(Entry.Done), std::move(Out));
     else
-      Still.push_back(std::move(Entry));
+      Remaining.push_back(std::move(Entry));
   }
-  Waiting_ = std::move(Still);
+  WaitingProposals_ = std::move(Remaining);
   for (auto &[Done, Result] : Answers)
     Done(std::move(Result));
 }
 
-void ConfigManager::leave(std::function<void()> Done) {
-  Leaving_ = true;
+void ConfigManager::deregister(std::function<void()> Done) {
+  Deregistering_ = true;
   Transaction Change;
   Change.WriteId = randomId();
-  Change.Checks = {{memberKey(Self_.Name), SelfVersion_}};
+  Change.Checks = {{memberKey(Self_.Name), MemberRowVersion_}};
   Change.Writes = {{memberKey(Self_.Name), nullptr}, headWrite("member")};
   Rows_.commit(std::move(Change),
                [Done = std::move(Done)](Result<CommitOutcome>) { Done(); });
@@ -360,7 +366,7 @@
 
 void ConfigManager::removeMembers(const std::vector<std::string> &Names) {
   for (const std::string &Name : Names) {
-    if (Name == Self_.Name || !MemberBook_.find(Name))
+    if (Name == Self_.Name || !MemberRegistry_.find(Name))
       continue;
     Rows_.read(memberKey(Name), [this](Result<TableRow> Row) {
       if (!Row || Row->Version == 0)
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -298,7 +298,7 @@
 void EntryDaemon::finishStop() {
   // Nothing is in flight any more: the report gives all grants back.
   askOwner();
-  Parts_.Keeper.leave([this] {
+  Parts_.Keeper.deregister([this] {
     Parts_.Control->after(PartingTime, [this] {
       Parts_.Events.record(EventId::DaemonStopped, Parts_.Self.Name);
       Parts_.Control->stop();
