--- a/packages/daemon/tests/GrantTest.cpp
+++ b/packages/daemon/tests/GrantTest.cpp
@@ -19,13 +19,13 @@
 
 constexpr milliseconds Lease{4000};
 constexpr milliseconds MaxRequestTime{2000};
-constexpr milliseconds Settle{8000};
-constexpr int Slots = 8;
+constexpr milliseconds RequestDrainTime{8000};
+constexpr int SlotsPerVm = 8;
 /// Below all slots in some histories, above them in others.
-constexpr int Shares[] = {10, 40};
-constexpr int Burst = 10;
-constexpr int Doors = 3;
-constexpr int Vms = 2;
+constexpr int CustomerShares[] = {10, 40};
+constexpr int BurstSize = 10;
+constexpr int FrontendCount = 3;
+constexpr int VmCount = 2;
 
 struct FixedSeed {
   FixedSeed() {
@@ -35,62 +35,63 @@
 BOOST_GLOBAL_FIXTURE(FixedSeed);
 
 /// A front door that takes what it gets and holds it for a while.
-struct Door {
+struct Frontend {
   std::string Name;
-  AdmissionController Book;
-  TimePoint AskedAt{};
-  std::int64_t AskedSeq = 0;
-  std::deque<std::pair<Slot, TimePoint>> Held;
+  AdmissionController Controller;
+  TimePoint RequestedAt{};
+  std::int64_t RequestedSeq = 0;
+  std::deque<std::pair<Slot, TimePoint>> HeldSlots;
   std::uint64_t NextId = 1;
 
-  Door(std::string Name, const Clock &Time)
-      : Name(std::move(Name)), Book(Time) {}
+  Frontend(std::string Name, const Clock &TestClock)
+      : Name(std::move(Name)), Controller(TestClock) {}
 };
 
-struct Network {
-  ManualClock Time;
+struct Simulation {
+  ManualClock TestClock;
   std::unique_ptr<GrantAllocator> Owner;
-  std::vector<Door> Members;
+  std::vector<Frontend> Frontends;
   std::vector<GrantRequest> Requests;
   std::vector<std::pair<int, GrantReply>> Replies;
   std::string Violation;
-  TimePoint TakenAt{};
+  TimePoint OwnedSince{};
 
   int Share;
 
-  explicit Network(int Share) : Share(Share) {
-    for (int Index = 0; Index < Doors; ++Index)
-      Members.emplace_back(fmt::format("door{}", Index), Time);
+  explicit Simulation(int Share) : Share(Share) {
+    for (int Index = 0; Index < FrontendCount; ++Index)
+      Frontends.emplace_back(fmt::format("door{}", Index), TestClock);
     startOwner(false);
   }
 
   void startOwner(bool Inherited) {
-    Owner = std::make_unique<GrantAllocator>(Time, GrantTimings{Lease, Settle},
-                                             Inherited);
+    Owner = std::make_unique<GrantAllocator>(
+        TestClock, GrantTimings{Lease, RequestDrainTime}, Inherited);
     std::vector<std::string> Names;
-    for (const Door &Each : Members)
+    for (const Frontend &Each : Frontends)
       Names.push_back(Each.Name);
     Owner->setDaemons(Names);
-    for (int Index = 0; Index < Vms; ++Index)
-      Owner->setVm(fmt::format("vm{}", Index), "s", Slots);
+    for (int Index = 0; Index < VmCount; ++Index)
+      Owner->setVm(fmt::format("vm{}", Index), "s", SlotsPerVm);
     Owner->setCustomer("c", Share);
     // A new owner doesn't get what was sent to the old one.
     Requests.clear();
-    TakenAt = Time.now();
+    OwnedSince = TestClock.now();
   }
 
   /// Once all earlier leases are over, the VMs tell what daemons that the owner
   /// has not heard of have in flight.
-  void settleWhenDue() {
-    if (Owner->recovered() || Time.now() - TakenAt <= Lease)
+  void finishRecoveryWhenDue() {
+    if (Owner->recovered() || TestClock.now() - OwnedSince <= Lease)
       return;
-    const std::vector<std::string> Heard = Owner->holderIds();
+    const std::vector<std::string> KnownHolders = Owner->holderIds();
     CountByName OnVms;
     CountByName OfCustomers;
-    for (const Door &Each : Members) {
-      if (std::count(Heard.begin(), Heard.end(), Each.Name + "/1") > 0)
+    for (const Frontend &Each : Frontends) {
+      if (std::count(KnownHolders.begin(), KnownHolders.end(),
+                     Each.Name + "/1") > 0)
         continue;
-      for (const auto &[Held, Since] : Each.Held) {
+      for (const auto &[Held, Since] : Each.HeldSlots) {
         ++OnVms[Held.Vm];
         ++OfCustomers["c"];
       }
@@ -98,19 +99,19 @@
     Owner->finishRecovery(OnVms, OfCustomers);
   }
 
-  void play(std::uint32_t Word) {
-    const std::uint32_t Rest = Word >> 4;
-    Door &Chosen = Members[Rest % Doors];
-    switch (Word % 16) {
+  void applyRandomEvent(std::uint32_t RandomBits) {
+    const std::uint32_t Argument = RandomBits >> 4;
+    Frontend &Chosen = Frontends[Argument % FrontendCount];
+    switch (RandomBits % 16) {
     case 0:
     case 1:
     case 2: {
       GrantRequest Request;
       Request.From = Chosen.Name;
       Request.Incarnation = "1";
-      Chosen.Book.fillRequest(Request);
-      Chosen.AskedAt = Time.now();
-      Chosen.AskedSeq = Request.Seq;
+      Chosen.Controller.fillRequest(Request);
+      Chosen.RequestedAt = TestClock.now();
+      Chosen.RequestedSeq = Request.Seq;
       Requests.push_back(Request);
       break;
     }
@@ -119,15 +120,15 @@
     case 5:
       // Any message may come next, and stay to come again.
       if (!Requests.empty()) {
-        const GrantRequest Request = Requests[Rest % Requests.size()];
-        if (Rest % 3 != 0)
+        const GrantRequest Request = Requests[Argument % Requests.size()];
+        if (Argument % 3 != 0)
           std::erase_if(Requests, [&](const GrantRequest &Each) {
             return Each.From == Request.From && Each.Seq == Request.Seq;
           });
         GrantReply Reply = Owner->handleRequest(Request).Reply;
         Reply.VmTableVersion = 1;
         Reply.Vms.emplace();
-        for (int Index = 0; Index < Vms; ++Index)
+        for (int Index = 0; Index < VmCount; ++Index)
           Reply.Vms->push_back({fmt::format("vm{}", Index), "s", "u"});
         if (Reply.Seq != 0)
           Replies.emplace_back(Request.From.back() - '0', Reply);
@@ -137,68 +138,69 @@
     case 7:
     case 8:
       if (!Replies.empty()) {
-        const auto [Index, Reply] = Replies[Rest % Replies.size()];
-        Members[Index].Book.applyReply(Reply, Members[Index].AskedAt, Lease,
-                                       MaxRequestTime);
+        const auto [Index, Reply] = Replies[Argument % Replies.size()];
+        Frontends[Index].Controller.applyReply(
+            Reply, Frontends[Index].RequestedAt, Lease, MaxRequestTime);
       }
       break;
     case 9:
-      Time.advance(milliseconds(Rest % 300));
+      TestClock.advance(milliseconds(Argument % 300));
       break;
     case 10:
-      if (Rest % 8 < 2)
+      if (Argument % 8 < 2)
         startOwner(true);
-      else if (Rest % 8 == 2)
-        Time.advance(Settle);
+      else if (Argument % 8 == 2)
+        TestClock.advance(RequestDrainTime);
       break;
     case 11:
-      endHeld(Chosen);
+      endOldestRequest(Chosen);
       break;
     default:
       // More than there is, so that each cap is used up.
-      for (int Count = 0; Count < Burst; ++Count)
+      for (int Count = 0; Count < BurstSize; ++Count)
         enqueue(Chosen);
     }
     // Requests end by themselves within their longest time.
-    for (Door &Each : Members)
-      while (!Each.Held.empty() &&
-             Time.now() - Each.Held.front().second >= MaxRequestTime)
-        endHeld(Each);
-    settleWhenDue();
-    for (Door &Each : Members) {
-      Each.Book.dequeueExpired();
-      for (const Slot &New : Each.Book.assignSlots())
-        Each.Held.emplace_back(New, Time.now());
+    for (Frontend &Each : Frontends)
+      while (!Each.HeldSlots.empty() &&
+             TestClock.now() - Each.HeldSlots.front().second >= MaxRequestTime)
+        endOldestRequest(Each);
+    finishRecoveryWhenDue();
+    for (Frontend &Each : Frontends) {
+      Each.Controller.dequeueExpired();
+      for (const Slot &Assigned : Each.Controller.assignSlots())
+        Each.HeldSlots.emplace_back(Assigned, TestClock.now());
     }
     check();
   }
 
-  void enqueue(Door &At) {
-    SlotRequest Demand;
-    Demand.Id = At.NextId++;
-    Demand.Customer = "c";
-    Demand.Service = "s";
-    Demand.StartBy = Time.now() + milliseconds(500);
-    (void)At.Book.enqueue(Demand);
+  void enqueue(Frontend &Target) {
+    SlotRequest Wanted;
+    Wanted.Id = Target.NextId++;
+    Wanted.Customer = "c";
+    Wanted.Service = "s";
+    Wanted.StartBy = TestClock.now() + milliseconds(500);
+    (void)Target.Controller.enqueue(Wanted);
   }
 
-  void endHeld(Door &Of) {
-    if (Of.Held.empty())
+  void endOldestRequest(Frontend &Target) {
+    if (Target.HeldSlots.empty())
       return;
-    Of.Book.releaseSlot(Of.Held.front().first, milliseconds(1));
-    Of.Held.pop_front();
+    Target.Controller.releaseSlot(Target.HeldSlots.front().first,
+                                  milliseconds(1));
+    Target.HeldSlots.pop_front();
   }
 
   void check() {
     std::map<std::string, int> OnVm;
     int OfCustomer = 0;
-    for (const Door &Each : Members)
-      for (const auto &[Held, Since] : Each.Held) {
+    for (const Frontend &Each : Frontends)
+      for (const auto &[Held, Since] : Each.HeldSlots) {
         ++OnVm[Held.Vm];
         ++OfCustomer;
       }
     for (const auto &[Vm, Count] : OnVm)
-      if (Count > Slots)
+      if (Count > SlotsPerVm)
         Violation = fmt::format("{} on {}", Count, Vm);
     if (OfCustomer > Share)
       Violation = fmt::format("{} of the customer", OfCustomer);
@@ -208,23 +210,24 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(capsAreNeverExceeded) {
-  std::size_t Started = 0;
-  const bool Held =
-      rc::check("caps are never exceeded",
-                [&Started](const std::vector<std::uint32_t> &History) {
-                  Network Net(Shares[History.size() % std::size(Shares)]);
-                  for (const std::uint32_t Word : History) {
-                    Net.play(Word);
-                    for (const Door &Each : Net.Members)
-                      Started += Each.Held.size();
-                  }
-                  RC_ASSERT(Net.Violation == std::string());
-                });
-  BOOST_CHECK(Held);
-  BOOST_CHECK_GT(Started, 10000);
+  std::size_t StartedCount = 0;
+  const bool Passed = rc::check(
+      "caps are never exceeded",
+      [&StartedCount](const std::vector<std::uint32_t> &Events) {
+        Simulation Simulated(
+            CustomerShares[Events.size() % std::size(CustomerShares)]);
+        for (const std::uint32_t RandomBits : Events) {
+          Simulated.applyRandomEvent(RandomBits);
+          for (const Frontend &Each : Simulated.Frontends)
+            StartedCount += Each.HeldSlots.size();
+        }
+        RC_ASSERT(Simulated.Violation == std::string());
+      });
+  BOOST_CHECK(Passed);
+  BOOST_CHECK_GT(StartedCount, 10000);
 }
 
-BOOST_AUTO_TEST_CASE(apportionGivesAllAndFavoursNoone) {
+BOOST_AUTO_TEST_CASE(apportionAssignsTheTotalAndRotatesTies) {
   BOOST_CHECK(apportion(8, {1, 1, 1}, 0) != apportion(8, {1, 1, 1}, 1));
   for (int Total = 0; Total < 20; ++Total) {
     int Sum = 0;
@@ -235,49 +238,51 @@
   BOOST_CHECK_EQUAL(apportion(5, {1, 0, 1}, 0)[1], 0);
 }
 
-BOOST_AUTO_TEST_CASE(silentDoorsSlotsComeBackAfterItsRequestsEnded) {
-  ManualClock Time;
-  GrantAllocator Owner(Time, GrantTimings{Lease, Settle}, false);
-  Owner.setVm("vm0", "s", Slots);
+BOOST_AUTO_TEST_CASE(slotsOfSilentFrontendAreGrantedAgainAfterItsRequestsEnd) {
+  ManualClock TestClock;
+  GrantAllocator Owner(TestClock, GrantTimings{Lease, RequestDrainTime}, false);
+  Owner.setVm("vm0", "s", SlotsPerVm);
   GrantRequest Request;
   Request.From = "door0";
   Request.Incarnation = "1";
   Request.Seq = 1;
-  BOOST_CHECK_EQUAL(Owner.handleRequest(Request).Reply.VmCaps["vm0"], Slots);
-  Time.advance(Settle - milliseconds(1));
+  BOOST_CHECK_EQUAL(Owner.handleRequest(Request).Reply.VmCaps["vm0"],
+                    SlotsPerVm);
+  TestClock.advance(RequestDrainTime - milliseconds(1));
   Request.From = "door1";
   BOOST_CHECK_EQUAL(Owner.handleRequest(Request).Reply.VmCaps["vm0"], 0);
-  Time.advance(milliseconds(2));
+  TestClock.advance(milliseconds(2));
   Request.Seq = 2;
-  BOOST_CHECK_EQUAL(Owner.handleRequest(Request).Reply.VmCaps["vm0"], Slots);
+  BOOST_CHECK_EQUAL(Owner.handleRequest(Request).Reply.VmCaps["vm0"],
+                    SlotsPerVm);
 }
 
-BOOST_AUTO_TEST_CASE(idleHolderIsNudgedAndThenTheOneThatLacks) {
-  ManualClock Time;
-  GrantAllocator Owner(Time, GrantTimings{Lease, Settle}, false);
+BOOST_AUTO_TEST_CASE(idleHolderIsNotifiedAndThenTheHolderBelowTarget) {
+  ManualClock TestClock;
+  GrantAllocator Owner(TestClock, GrantTimings{Lease, RequestDrainTime}, false);
   Owner.setCustomer("c", 4);
-  const auto Ask = [&](const char *From, std::int64_t Seq, int Cap,
-                       int Demand) {
+  const auto SendRequest = [&](const char *From, std::int64_t Seq, int Cap,
+                               int Wanted) {
     GrantRequest Request;
     Request.From = From;
     Request.Incarnation = "1";
     Request.Seq = Seq;
     if (Cap > 0)
       Request.CustomerCaps = {{"c", Cap}};
-    Request.CustomerDemand = {{"c", Demand}};
+    Request.CustomerDemand = {{"c", Wanted}};
     return Owner.handleRequest(Request);
   };
-  BOOST_CHECK_EQUAL(Ask("door0", 1, 0, 2).Reply.CustomerCaps["c"], 4);
-  const GrantDecision Lacks = Ask("door1", 1, 0, 2);
-  BOOST_CHECK_EQUAL(Lacks.Reply.CustomerCaps.count("c"), 0);
-  BOOST_CHECK(Lacks.DaemonsToNotify == std::vector<std::string>{"door0"});
-  BOOST_CHECK_EQUAL(Ask("door0", 2, 4, 0).Reply.CustomerCaps["c"], 1);
-  BOOST_CHECK(Ask("door0", 3, 1, 0).DaemonsToNotify ==
+  BOOST_CHECK_EQUAL(SendRequest("door0", 1, 0, 2).Reply.CustomerCaps["c"], 4);
+  const GrantDecision BelowTarget = SendRequest("door1", 1, 0, 2);
+  BOOST_CHECK_EQUAL(BelowTarget.Reply.CustomerCaps.count("c"), 0);
+  BOOST_CHECK(BelowTarget.DaemonsToNotify == std::vector<std::string>{"door0"});
+  BOOST_CHECK_EQUAL(SendRequest("door0", 2, 4, 0).Reply.CustomerCaps["c"], 1);
+  BOOST_CHECK(SendRequest("door0", 3, 1, 0).DaemonsToNotify ==
               std::vector<std::string>{"door1"});
-  BOOST_CHECK_EQUAL(Ask("door1", 2, 0, 2).Reply.CustomerCaps["c"], 3);
+  BOOST_CHECK_EQUAL(SendRequest("door1", 2, 0, 2).Reply.CustomerCaps["c"], 3);
 }
 
-BOOST_AUTO_TEST_CASE(messagesSurviveTheWire) {
+BOOST_AUTO_TEST_CASE(messagesRoundTripThroughMessagePack) {
   GrantReply Reply;
   Reply.Owner = "d1-a";
   Reply.Epoch = 3;
--- a/packages/daemon/tests/OwnershipTest.cpp
+++ b/packages/daemon/tests/OwnershipTest.cpp
@@ -35,13 +35,13 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(refusalsOfSeveralVmsDoNotHideTheRealOwner) {
-  IdleLoop Home;
+BOOST_AUTO_TEST_CASE(refusalsBySeveralVmsDoNotHideTheNewOwner) {
+  IdleLoop ControlLoop;
   EmptyTable Rows;
-  ManualClock Time;
+  ManualClock TestClock;
   EventLog Events("test", 100);
   const Settings Config;
-  Ownership Owners(Rows, Home, Time, Events, Config,
+  Ownership Owners(Rows, ControlLoop, TestClock, Events, Config,
                    Identity{"d1-a", "1", "d1", "h:1", "p:1"});
   int Lost = 0;
   Owners.OnLost = [&Lost] { ++Lost; };
--- a/packages/daemon/tests/ShareTest.cpp
+++ b/packages/daemon/tests/ShareTest.cpp
@@ -56,7 +56,7 @@
 /// A table whose answers come later, in any order.
 class SlowTable final : public Table {
 public:
-  explicit SlowTable(Loop &Home) : Home_(Home) {}
+  explicit SlowTable(Loop &ControlLoop) : ControlLoop_(ControlLoop) {}
 
   void commit(Transaction Change, CommitDone Done) override {
     CommitOutcome Out;
@@ -69,30 +69,30 @@
         Rows_[Write.Key] =
             TableRow{Write.Key, Revision_, Write.Value, Change.WriteId};
     }
-    Home_.post([Done, Out] { Done(Out); });
+    ControlLoop_.post([Done, Out] { Done(Out); });
   }
   void read(std::string Key, RowDone Done) override {
-    Home_.post([Done, Row = Rows_[Key]] { Done(Row); });
+    ControlLoop_.post([Done, Row = Rows_[Key]] { Done(Row); });
   }
   void scan(std::string Prefix, RowsDone Done) override {
     std::vector<TableRow> Out;
     for (const auto &[Key, Row] : Rows_)
       if (Key.starts_with(Prefix) && Row.Version != 0)
         Out.push_back(Row);
-    Home_.post([Done, Out] { Done(Out); });
+    ControlLoop_.post([Done, Out] { Done(Out); });
   }
 
 private:
-  Loop &Home_;
+  Loop &ControlLoop_;
   std::map<std::string, TableRow> Rows_;
   std::int64_t Revision_ = 0;
 };
 
 /// A domain that uses what it may, up to what it wants.
-struct Site final : DomainUsage {
+struct SimulatedDomain final : DomainUsage {
   ShareAmount Wanted;
   ShareAmount Used;
-  std::shared_ptr<ShareManager> Keeper;
+  std::shared_ptr<ShareManager> Manager;
   ContractTerms Terms;
 
   ShareAmount demand(const std::string &) const override {
@@ -103,77 +103,79 @@
   ShareAmount maxUsage(const std::string &) const override { return Used; }
   bool usageFullyKnown() const override { return true; }
 
-  void use() {
-    const ShareAmount May =
-        transferableLimits(Keeper->currentShare(Customer, Terms));
+  void useShare() {
+    const ShareAmount Allowed =
+        transferableLimits(Manager->currentShare(Customer, Terms));
     const auto Grow = [](std::int64_t &Now, std::int64_t Want,
                          std::int64_t Limit) {
       Now = std::max(Now, std::min(Want, Limit));
     };
-    Grow(Used.Held.MilliCores, Wanted.Held.MilliCores, May.Held.MilliCores);
-    Grow(Used.Requests, Wanted.Requests, May.Requests);
+    Grow(Used.Held.MilliCores, Wanted.Held.MilliCores, Allowed.Held.MilliCores);
+    Grow(Used.Requests, Wanted.Requests, Allowed.Requests);
   }
-  void rest() {
+  void releaseUnwanted() {
     Used.Held.MilliCores =
         std::min(Used.Held.MilliCores, Wanted.Held.MilliCores);
     Used.Requests = std::min(Used.Requests, Wanted.Requests);
   }
 };
 
-struct World {
-  AnyOrderLoop Home;
-  SlowTable Rows{Home};
-  std::map<std::string, Site> Sites;
+struct Simulation {
+  AnyOrderLoop ControlLoop;
+  SlowTable Rows{ControlLoop};
+  std::map<std::string, SimulatedDomain> SimulatedDomains;
   std::int64_t LargestCores = 3000;
-  std::set<std::string> Moved;
+  std::set<std::string> DomainsAboveEvenPart;
 
-  World() {
+  Simulation() {
     for (const std::string &Domain : Domains)
-      startKeeper(Domain);
+      startManager(Domain);
   }
 
-  void startKeeper(const std::string &Domain) {
-    Site &Of = Sites[Domain];
-    if (Of.Keeper)
-      Of.Keeper->close();
+  void startManager(const std::string &Domain) {
+    SimulatedDomain &Chosen = SimulatedDomains[Domain];
+    if (Chosen.Manager)
+      Chosen.Manager->close();
     else
-      Of.Terms = makeTerms(3000, 9);
-    Of.Keeper = std::make_shared<ShareManager>(
-        Rows, Home, ShareManagerContext{Domain, Domains, "epoch", 0}, Of);
-    Of.Keeper->setContracts({{Customer, Of.Terms}});
-    Of.Keeper->start();
+      Chosen.Terms = makeTerms(3000, 9);
+    Chosen.Manager = std::make_shared<ShareManager>(
+        Rows, ControlLoop, ShareManagerContext{Domain, Domains, "epoch", 0},
+        Chosen);
+    Chosen.Manager->setContracts({{Customer, Chosen.Terms}});
+    Chosen.Manager->start();
   }
 
-  void play(std::uint32_t Word) {
-    Site &Of = Sites[Domains[(Word >> 4) % Domains.size()]];
-    const std::uint32_t Rest = Word >> 8;
-    switch (Word % 16) {
+  void applyRandomEvent(std::uint32_t RandomBits) {
+    SimulatedDomain &Chosen =
+        SimulatedDomains[Domains[(RandomBits >> 4) % Domains.size()]];
+    const std::uint32_t Argument = RandomBits >> 8;
+    switch (RandomBits % 16) {
     case 0:
-      Of.Wanted.Held.MilliCores = Rest % 3500;
+      Chosen.Wanted.Held.MilliCores = Argument % 3500;
       break;
     case 1:
-      Of.Wanted.Requests = Rest % 12;
+      Chosen.Wanted.Requests = Argument % 12;
       break;
     case 2:
-      Of.rest();
+      Chosen.releaseUnwanted();
       break;
     case 3:
-      if (Rest % 16 == 0)
-        startKeeper(Domains[(Word >> 4) % Domains.size()]);
+      if (Argument % 16 == 0)
+        startManager(Domains[(RandomBits >> 4) % Domains.size()]);
       break;
     default:
-      Home.step(Rest);
+      ControlLoop.step(Argument);
     }
-    for (auto &[Domain, Each] : Sites) {
-      Each.use();
+    for (auto &[Domain, Each] : SimulatedDomains) {
+      Each.useShare();
       if (Each.Used.Held.MilliCores > 1000)
-        Moved.insert(Domain);
+        DomainsAboveEvenPart.insert(Domain);
     }
   }
 
   std::string violation() const {
     ShareAmount Sum;
-    for (const auto &[Domain, Each] : Sites)
+    for (const auto &[Domain, Each] : SimulatedDomains)
       Sum += Each.Used;
     if (Sum.Held.MilliCores > 3000 || Sum.Requests > 9)
       return fmt::format("{} millicores, {} requests", Sum.Held.MilliCores,
@@ -185,46 +187,47 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(partsInUseNeverExceedTheContract) {
-  std::size_t Moves = 0;
-  const bool Held =
-      rc::check("parts in use never exceed the contract",
-                [&Moves](const std::vector<std::uint32_t> &History) {
-                  World All;
-                  for (const std::uint32_t Word : History) {
-                    All.play(Word);
-                    RC_ASSERT(All.violation() == std::string());
-                  }
-                  Moves += All.Moved.size();
-                });
-  BOOST_CHECK(Held);
+  std::size_t DomainsAboveEvenPartCount = 0;
+  const bool Passed = rc::check(
+      "parts in use never exceed the contract",
+      [&DomainsAboveEvenPartCount](const std::vector<std::uint32_t> &Events) {
+        Simulation Simulated;
+        for (const std::uint32_t RandomBits : Events) {
+          Simulated.applyRandomEvent(RandomBits);
+          RC_ASSERT(Simulated.violation() == std::string());
+        }
+        DomainsAboveEvenPartCount += Simulated.DomainsAboveEvenPart.size();
+      });
+  BOOST_CHECK(Passed);
   // Histories in which nothing moved would prove nothing.
-  BOOST_CHECK_GT(Moves, 50);
+  BOOST_CHECK_GT(DomainsAboveEvenPartCount, 50);
 }
 
 // Each of two domains waits for more than its part, all or nothing.
-BOOST_AUTO_TEST_CASE(twoThatWantMoreThanTheirPartBothGetIt) {
-  World All;
+BOOST_AUTO_TEST_CASE(twoDomainsThatRequestMoreThanTheirPartAreBothServed) {
+  Simulation Simulated;
   for (const char *Domain : {"d1", "d2"})
-    All.Sites[Domain].Wanted.Held.MilliCores = 2500;
+    Simulated.SimulatedDomains[Domain].Wanted.Held.MilliCores = 2500;
   std::set<std::string> Served;
   std::uint32_t Choice = 1;
   for (int Step = 0; Step < 20000 && Served.size() < 2; ++Step) {
     Choice = Choice * 1664525 + 1013904223;
-    All.Home.step(Choice >> 8);
+    Simulated.ControlLoop.step(Choice >> 8);
     for (const char *Domain : {"d1", "d2"}) {
-      Site &Of = All.Sites[Domain];
-      if (transferableLimits(Of.Keeper->currentShare(Customer, Of.Terms))
-              .Held.MilliCores < Of.Wanted.Held.MilliCores)
+      SimulatedDomain &Chosen = Simulated.SimulatedDomains[Domain];
+      if (transferableLimits(
+              Chosen.Manager->currentShare(Customer, Chosen.Terms))
+              .Held.MilliCores < Chosen.Wanted.Held.MilliCores)
         continue;
       // The work runs, ends, and leaves the part to others.
       Served.insert(Domain);
-      Of.Wanted = {};
+      Chosen.Wanted = {};
     }
   }
   BOOST_CHECK_EQUAL(Served.size(), 2);
 }
 
-BOOST_AUTO_TEST_CASE(scalingNeverGrowsTheSum) {
+BOOST_AUTO_TEST_CASE(scalingNeverIncreasesTheSum) {
   rc::check(
       "scaling never grows the sum",
       [](std::uint16_t A, std::uint16_t B, std::uint16_t C, std::uint16_t To) {
@@ -252,7 +255,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(rowSurvivesTheTable) {
+BOOST_AUTO_TEST_CASE(shareRowRoundTripsThroughJson) {
   ShareRow Row = evenShares(makeTerms(100, 7), Customer, Domains);
   Row.requestTransfer("d2", ShareAmount{{}, 3});
   const auto Back = parseShareRow(toJson(Row));
