--- a/packages/daemon/include/cuminroad/daemon/AdmissionController.h
+++ b/packages/daemon/include/cuminroad/daemon/AdmissionController.h
@@ -14,65 +14,76 @@
 
 namespace cuminroad {
 
-/// A request that wants a slot.
+/// A customer's request that needs a slot on a VM.
 struct SlotRequest {
   std::uint64_t Id = 0;
   std::string Customer;
   std::string Service;
   bool Urgent = false;
+  /// The latest time at which the request can start.
   TimePoint StartBy{};
-  /// VMs that failed this request already.
+  /// VMs on which an attempt at this request failed; used only if no other VM
+  /// of the service has a free slot.
   std::set<std::string> AvoidedVms;
 };
 
-/// A slot on a VM, held until it is given back.
+/// A slot on a VM, in use until releaseSlot().
 struct Slot {
+  /// Id of the request that uses it.
   std::uint64_t Id = 0;
   std::string Customer;
   std::string Vm;
   std::string Url;
 };
 
-/// A front door's account of the slots granted to it, and its queue of requests
-/// that wait for one. Pure: no I/O, no threads, time from the clock.
+/// Admits requests to VMs within the caps that the domain's owner granted to
+/// this frontend, and queues those that have to wait for a slot. It performs no
+/// I/O, uses no threads, and takes the time from the clock that it is given.
 ///
-/// Invariant: requests in flight on a VM, and for a customer, never exceed the
-/// caps of a grant whose lease has not lapsed, but for requests that were in
-/// flight when a cap was lowered.
+/// Invariant: the requests in flight on a VM, and those of a customer, exceed
+/// the cap of a grant whose lease is valid only by requests that were already
+/// in flight when the cap was lowered.
 class AdmissionController {
 public:
   explicit AdmissionController(const Clock &MonotonicClock);
 
-  /// Applies an answer to the request sent at \p RequestedAt; an answer to any
-  /// but the newest request is ignored. The caps can be used for \p Lease from
-  /// then on. For \p ReserveTime beyond it the owner gives them to nobody else,
-  /// so that a new owner can let this front door go on with them.
+  /// Applies the reply to the grant request sent at \p RequestedAt; a reply to
+  /// any but the newest request is ignored. The caps are valid for \p Lease,
+  /// counted from \p RequestedAt. For another \p ReserveTime the owner grants
+  /// them to no other frontend, so that a new owner can renew them for this
+  /// one.
   void applyReply(const GrantReply &Reply, TimePoint RequestedAt,
                   milliseconds Lease, milliseconds ReserveTime);
-  /// Fills in caps and demand, and makes this the newest request.
+  /// Sets the sequence number, the caps, the demand and the leaving VMs of a
+  /// grant request, which becomes the newest one.
   void fillRequest(GrantRequest &Request);
-  /// Stops using a VM that said that it is leaving.
+  /// Assigns no more slots on a VM that refused work because it is leaving.
   void markLeaving(const std::string &Vm);
 
-  /// Queues a request. \returns DeadlineTooClose where the queue is so long
-  /// that it can't start in time.
+  /// Queues a request. \returns DeadlineTooClose if it is not expected to start
+  /// in time, judged by the length of the queue, and NoCapacity if the queue is
+  /// full.
   Result<void> enqueue(SlotRequest Request);
-  /// Takes the request out of the queue, if it still waits.
+  /// Removes a request from the queue if it is still waiting.
   void dequeue(std::uint64_t Id);
-  /// \returns the slots for waiting requests that can start now; urgent ones
-  /// first, then by the time by which they must start.
+  /// Removes the requests that can start now from the queue. Urgent ones come
+  /// first, then those with the earliest StartBy. \returns their slots.
   std::vector<Slot> assignSlots();
-  /// \returns the waiting requests whose time is up, with the reason.
+  /// Removes the requests whose StartBy has passed from the queue. \returns
+  /// their ids, each with the reason why it did not start.
   std::vector<std::pair<std::uint64_t, ErrorCode>> dequeueExpired();
-  /// Gives a slot back after \p Released of use.
+  /// Frees a slot that was in use for \p HoldTime.
   void releaseSlot(const Slot &Released, milliseconds HoldTime);
 
-  /// Whether the owner should hear now: requests wait, or caps were given back
-  /// since the last report, which others may wait for.
+  /// Whether to send a grant request before the next regular one: requests are
+  /// waiting, capacity was released that other frontends may be waiting for, or
+  /// the owner needs the full caps.
   bool shouldSendRequest() const {
     return !Waiting_.empty() || CapReleased_ || SendFullCaps_;
   }
+  /// Whether the granted caps may still be used.
   bool isLeaseValid() const;
+  /// \returns the number of queued requests.
   std::size_t waiting() const { return Waiting_.size(); }
   int inFlightOn(const std::string &Vm) const;
   bool knowsService(const std::string &Service) const;
@@ -89,6 +100,7 @@
     int Cap = 0;
     int InFlight = 0;
   };
+  /// Sort key of a waiting request: not urgent, latest start, id.
   using QueueKey = std::tuple<bool, TimePoint, std::uint64_t>;
 
   std::optional<std::string> pickVm(const SlotRequest &Request) const;
@@ -96,13 +108,16 @@
 
   const Clock &MonotonicClock_;
   std::int64_t RequestSeq_ = 0;
+  /// Capacity was released since the newest grant request.
   bool CapReleased_ = false;
-  /// The owner asked for all caps.
+  /// The owner can't apply differences; the next request reports all caps.
   bool SendFullCaps_ = false;
-  /// What the newest request reported, written out.
+  /// All caps as of the newest grant request, also where the request itself
+  /// carried only differences.
   CountByName ReportedVmCaps_;
   CountByName ReportedCustomerCaps_;
-  /// The last answer applied.
+  /// The reply applied last, and the caps that it granted; the next request
+  /// reports its caps as differences from these. 0 before the first reply.
   std::int64_t BaseSeq_ = 0;
   CountByName BaseVmCaps_;
   CountByName BaseCustomerCaps_;
@@ -111,11 +126,10 @@
   TimePoint ReservedUntil_{};
   std::map<std::string, VmUsage> Vms_;
   std::map<std::string, CustomerUsage> Customers_;
-  /// Waiting requests: not urgent, start by, id.
   std::map<QueueKey, SlotRequest> Waiting_;
   std::map<std::uint64_t, QueueKey> QueueKeyById_;
   std::map<std::string, int> WaitingCountByService_;
-  /// Smoothed time for which a slot is held, in milliseconds.
+  /// Exponentially smoothed time for which a slot is in use, in milliseconds.
   std::map<std::string, double> HoldTimeMsByService_;
 };
 
--- a/packages/daemon/include/cuminroad/daemon/GrantAllocator.h
+++ b/packages/daemon/include/cuminroad/daemon/GrantAllocator.h
@@ -11,101 +11,131 @@
 
 namespace cuminroad {
 
-/// How long grants and what was started on them last.
+/// For how long grants are valid, and how long requests can run on after them.
 struct GrantTimings {
-  /// A front door that is silent for longer stops starting requests.
+  /// A frontend starts no requests when its last grant is older than this.
   milliseconds Lease;
-  /// Lease, longest request and margin together: a front door that is silent
-  /// for longer has nothing in flight.
+  /// The sum of Lease, the longest request time and a margin: a frontend whose
+  /// last grant request is older than this has no request in flight.
   milliseconds RequestDrainTime;
 };
 
-/// What a front door gets, and which others should report.
+/// The reply to a frontend's grant request, and who should send one next.
 struct GrantDecision {
   GrantReply Reply;
-  /// Daemons that hold what this one lacks, or that lack what it gave back.
+  /// Daemons that should send a grant request now: they hold capacity that this
+  /// frontend needs, or need capacity that it released.
   std::vector<std::string> DaemonsToNotify;
 };
 
-/// The owner's account of which front door may have how many requests in
-/// flight on each VM and for each customer of the domain.
+/// Decides, for the owner of a domain, how many requests each frontend may have
+/// in flight on each VM and for each customer. Such a number is called a cap.
 ///
-/// Invariant: the caps that front doors may be using never add up to more than
-/// a VM's slots or the customer's share. A cap counts from the moment it is
-/// granted until the front door reports a smaller one, or has been silent for
+/// Invariant: the caps that frontends may be using never add up to more than
+/// the VM's slots or the customer's share. A cap counts from the moment it is
+/// granted until the frontend reports a smaller one, or has sent no request for
 /// so long that its grants have lapsed and its requests have ended.
 class GrantAllocator {
 public:
-  /// \param Inherited whether an earlier owner may have given grants that this
-  /// book does not know of. Until the settling time has passed, nobody then
-  /// gets more than what front doors report and give back.
+  /// \param Inherited whether an earlier owner may have granted caps that this
+  /// object does not know. In that case it starts with a recovery period of
+  /// RequestDrainTime, in which it grants no more than the caps that frontends
+  /// have reported.
   GrantAllocator(const Clock &MonotonicClock, const GrantTimings &Timings,
                  bool Inherited);
 
-  /// Sets the names of the domain's daemons. An even part of each customer's
-  /// share is kept for each one that is silent: it may be cut off together
-  /// with an earlier owner, and then grants itself no more than that part.
+  /// Sets the names of the domain's daemons. For each daemon that is silent, an
+  /// even part of each customer's share is reserved: the daemon may be cut off
+  /// together with an earlier owner, which grants it no more than that part.
   void setDaemons(std::vector<std::string> Names);
 
-  /// Sets the slots of a VM; 0 for one that takes no work.
+  /// Sets the number of slots of a VM; 0 for a VM that accepts no work.
   void setVm(const std::string &Vm, const std::string &Service, int Slots);
-  /// Sets the domain's share of a customer's requests; 0 to refuse all.
+  /// Sets how many requests of a customer may be in flight in this domain; 0
+  /// refuses all.
   void setCustomer(const std::string &Customer, int Share);
-  /// Takes in a front door's report and decides on its grants.
+  /// Records the caps and the demand that a frontend reports, and decides on
+  /// its new caps. The reply's Seq is 0 if the request is out of date; such a
+  /// reply must not be sent.
   GrantDecision handleRequest(GrantRequest Request);
 
-  /// \returns what all front doors together may have in flight on \p Vm.
+  /// \returns how many requests all frontends together may have in flight on
+  /// \p Vm.
   int maxInFlightOnVm(const std::string &Vm) const;
+  /// \returns how many requests of \p Customer all frontends together may have
+  /// in flight.
   int maxInFlightOfCustomer(const std::string &Customer) const;
   /// \returns the customer's requests in flight and waiting, as reported.
   int demandOfCustomer(const std::string &Customer) const;
-  /// Whether the book knows all that any daemon may be using.
+  /// Whether the caps of all daemons are known: the recovery period is over and
+  /// no daemon is silent.
   bool usageFullyKnown() const;
-  /// Ends the settling time early: \p OnVms and \p OfCustomers are what the
-  /// VMs have in flight from daemons that holders() does not name. No daemon
-  /// may start more on an earlier owner's grants.
+  /// Ends the recovery period early. \p OnVms and \p OfCustomers count the
+  /// requests that are in flight on the VMs and come from daemons that
+  /// holderIds() does not name. To be called only when no daemon can start
+  /// further requests on an earlier owner's grants.
   void finishRecovery(const CountByName &OnVms, const CountByName &OfCustomers);
+  /// Whether the recovery period after a takeover is over.
   bool recovered() const { return MonotonicClock_.now() >= RecoveryEndsAt_; }
-  /// \returns the front doors heard of and not yet given up.
+  /// \returns the ids, "NAME/INCARNATION", of the frontends that have sent a
+  /// request within RequestDrainTime.
   std::vector<std::string> holderIds() const;
 
 private:
+  /// The slots of a VM, or the domain's share of a customer's requests.
   struct LimitedResource {
+    /// The VM's service; empty for a customer.
     std::string Service;
     int Limit = 0;
-    /// What the reports account for while the settling time lasts.
+    /// Sum of the caps in the first report of each frontend. Bounds the grants
+    /// during the recovery period.
     int ReportedCap = 0;
     CountByName CapByHolder;
-    /// Who got less than its part at its last request.
+    /// Holders that got less than their target, and less than they need, at
+    /// their last request.
     std::set<std::string> HoldersBelowTarget;
     int capSum() const;
     int capOf(const std::string &HolderId) const;
   };
+  /// A process of a frontend that holds grants.
   struct GrantHolder {
+    /// Sequence number of its newest request.
     std::int64_t Seq = 0;
     std::string DaemonName;
     TimePoint LastRequestAt{};
     CountByName ServiceDemand;
     CountByName CustomerDemand;
-    /// The last answer, which the next report may be based on.
+    /// The last reply, and the caps that it granted; the next request may
+    /// report its caps as differences from them.
     std::int64_t ReplySeq = 0;
     CountByName VmCaps;
     CountByName CustomerCaps;
   };
 
+  /// Removes holders that have sent no request for RequestDrainTime.
   void removeExpiredHolders();
+  /// Stores the caps that a holder reports. Adds to \p DaemonsToNotify those
+  /// that need what it released.
   void recordReport(std::map<std::string, LimitedResource> &Resources,
                     const std::string &HolderId, const CountByName &Caps,
                     bool FirstRequest, std::set<std::string> &DaemonsToNotify);
+  /// Raises a holder's cap towards \p Target as far as capacity is free.
+  /// \returns the cap to grant. A lower one than before frees capacity only
+  /// once the holder reports it.
   int grantCap(LimitedResource &Resource, const std::string &HolderId,
                int Target, bool ByCustomer);
+  /// \returns the cap that each frontend that is not silent should have.
   CountByName targetCaps(const std::string &Name,
                          const LimitedResource &Resource,
                          bool ByCustomer) const;
+  /// Sets \p Caps for one holder. Adds to \p DaemonsToNotify those that hold
+  /// more than their target while this one needs more.
   void decideCaps(std::map<std::string, LimitedResource> &Resources,
                   const std::string &HolderId, bool ByCustomer,
                   CountByName &Caps, std::set<std::string> &DaemonsToNotify);
+  /// \returns how much of the limit may be granted at present.
   int grantableLimit(const LimitedResource &Resource, bool ByCustomer) const;
+  /// Whether the daemon has sent no request for longer than the lease.
   bool isSilent(const std::string &DaemonName) const;
 
   const Clock &MonotonicClock_;
@@ -117,8 +147,9 @@
   std::map<std::string, GrantHolder> Holders_;
 };
 
-/// Splits \p Total by \p Weights; the parts add up to it. Ties go round by
-/// \p TieOffset, so that not the same one gains each time.
+/// Splits \p Total in proportion to \p Weights, by the largest remainders. The
+/// parts add up to \p Total. Where remainders are equal, \p TieOffset rotates
+/// the order, so that the same index does not always get the larger part.
 std::vector<int> apportion(int Total, const std::vector<double> &Weights,
                            std::size_t TieOffset);
 
--- a/packages/daemon/include/cuminroad/daemon/GrantMessages.h
+++ b/packages/daemon/include/cuminroad/daemon/GrantMessages.h
@@ -13,83 +13,92 @@
 
 namespace cuminroad {
 
-/// Counts by VM, customer or service. Entries of 0 may be left out.
+/// Counts by the name of a VM, customer or service. Entries of 0 may be
+/// omitted.
 using CountByName = std::map<std::string, int>;
 
-/// \returns the count of \p Name, 0 where there is none.
+/// \returns the count of \p Name, or 0 if it has no entry.
 int countOf(const CountByName &Values, const std::string &Name);
-/// \returns the entries of \p To that differ from \p From; 0 for those that it
-/// has no more.
+/// \returns the entries of \p To that differ from \p From, and 0 for those that
+/// are only in \p From.
 CountByName difference(const CountByName &From, const CountByName &To);
-/// \returns \p Base changed by what difference() gave.
+/// \returns \p Base with the result of difference() applied to it.
 CountByName overlay(CountByName Base, const CountByName &Changes);
 
-/// A front door tells its domain's owner what it may use at present and what it
-/// wants. It is also the front door's heartbeat.
+/// Reports to the domain's owner which caps a frontend has at present and how
+/// much it needs. It also serves as the frontend's heartbeat.
 struct GrantRequest {
+  /// Name of the daemon that sends it.
   std::string From;
   /// Random for each start of the process.
   std::string Incarnation;
-  /// Rises with each request; an answer to an earlier one is not applied.
+  /// Increases with each request; a reply to an earlier one is not applied.
   std::int64_t Seq = 0;
-  /// The version of the VM table that the front door has.
+  /// The version of the VM table that the frontend has.
   std::int64_t VmTableVersion = 0;
-  /// Requests in flight that the front door may have, by VM and by customer.
-  /// Where Basis is not 0, only what differs from the answer to that request.
+  /// How many requests the frontend may have in flight, by VM and by customer.
+  /// If BaseSeq is not 0, only the differences from the caps that the reply to
+  /// that request granted.
   CountByName VmCaps;
   CountByName CustomerCaps;
+  /// Seq of the request whose reply the caps refer to; 0 if they are complete.
   std::int64_t BaseSeq = 0;
   /// Requests in flight and waiting, by service and by customer.
   CountByName ServiceDemand;
   CountByName CustomerDemand;
   /// VMs that refused work because they are leaving.
   std::vector<std::string> Leaving;
-  /// Where the answer goes, "address:port".
+  /// Address for the reply, "address:port".
   std::string ReplyTo;
+  /// Timestamp of the sender's hybrid logical clock, as in the other messages.
   std::uint64_t Stamp = 0;
 };
 
-/// Where a VM's requests go.
+/// A VM and the address for its requests.
 struct GrantVm {
   std::string Id;
   std::string Service;
+  /// Base URL of its HTTP server.
   std::string Url;
 };
 
-/// The owner's answer: what the front door may use from now on.
+/// The owner's reply: the caps that the frontend may use from now on.
 struct GrantReply {
+  /// Name of the owner's daemon.
   std::string Owner;
   std::int64_t Epoch = 0;
-  /// Seq of the request that is answered.
+  /// Seq of the request that this replies to.
   std::int64_t Seq = 0;
-  /// The owner does not know the request's basis: it wants all caps.
+  /// The owner does not know the reply that BaseSeq refers to, and needs a
+  /// request with all caps. Such a reply grants nothing.
   bool SendFullCaps = false;
-  /// What differs from the caps that the request reported.
+  /// Differences from the caps that the request reported.
   CountByName VmCaps;
   CountByName CustomerCaps;
   std::int64_t VmTableVersion = 0;
-  /// All VMs; only where the front door has another version of the table.
+  /// All VMs; set only if the frontend has another version of the table.
   std::optional<std::vector<GrantVm>> Vms;
   std::uint64_t Stamp = 0;
 };
 
-/// Asks a front door to send a GrantRequest now: the domain has a new owner, or
-/// a VM is leaving.
+/// Asks a frontend to send a GrantRequest now: the domain has a new owner, a VM
+/// is leaving, or another frontend needs or has released capacity.
 struct GrantNotice {
+  /// Name of the owner's daemon.
   std::string Owner;
   std::int64_t Epoch = 0;
-  /// The owner's peer address.
+  /// The owner's "address:port" for messages between daemons.
   std::string Address;
-  /// The owner's address for HTTP.
+  /// The owner's "address:port" for HTTP.
   std::string Http;
   std::uint64_t Stamp = 0;
 };
 
 using PeerMessage = std::variant<GrantRequest, GrantReply, GrantNotice>;
 
-/// \returns the message as MessagePack.
+/// \returns the message, encoded as MessagePack.
 std::string encode(const PeerMessage &Message);
-/// \returns the message, or MalformedInput.
+/// \returns the decoded message, or MalformedInput.
 Result<PeerMessage> decodePeerMessage(std::string_view Bytes);
 
 } // namespace cuminroad
--- a/packages/daemon/include/cuminroad/daemon/RetryBudget.h
+++ b/packages/daemon/include/cuminroad/daemon/RetryBudget.h
@@ -5,13 +5,15 @@
 
 namespace cuminroad {
 
-/// Keeps retries to a share of the requests, so that a failure of the backend
-/// servers isn't multiplied into load.
+/// Limits retries to a proportion of the requests, so that retries don't
+/// multiply the load on backend servers that fail. A token bucket: each request
+/// adds a fraction of a token, each retry takes one token.
 class RetryBudget {
 public:
-  /// Adds the share of a retry that each new request earns.
+  /// Adds the fraction of a retry that each new request allows.
   void earn() { Tokens_ = std::min(Tokens_ + TokensPerRequest, MaxTokens); }
-  /// \returns whether a retry may be made, and takes it from the budget.
+  /// Takes a token for a retry. \returns false if none is left; then no retry
+  /// may be made.
   bool spend() {
     if (Tokens_ < 1.0)
       return false;
--- a/packages/daemon/src/AdmissionController.cpp
+++ b/packages/daemon/src/AdmissionController.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Weight of the newest request in the smoothed hold time.
+/// Weight of the request that ended last in the smoothed hold time.
 constexpr double HoldTimeWeight = 0.1;
-/// Requests that may wait in one front door.
+/// Requests that may wait in one frontend.
 constexpr std::size_t MaxWaiting = 20000;
 
 void addCount(CountByName &Values, const std::string &Name, int Count) {
@@ -126,7 +126,8 @@
     return failure(ErrorCode::NoCapacity, "queue");
   int &WaitingAhead = WaitingCountByService_[Request.Service];
   if (WaitingAhead > 0) {
-    // Refusing now is worth more to the caller than a late "not run".
+    // The caller gains more from a refusal now than from "not run" at the
+    // deadline.
     const int Cap = std::max(totalCapOf(Request.Service), 1);
     const double ExpectedWaitMs =
         HoldTimeMsByService_[Request.Service] * WaitingAhead / Cap;
@@ -227,7 +228,8 @@
 void AdmissionController::releaseSlot(const Slot &Released,
                                       milliseconds HoldTime) {
   if (const auto Vm = Vms_.find(Released.Vm); Vm != Vms_.end()) {
-    // In use beyond a lowered cap: only now does the slot go back.
+    // The cap was lowered while the slot was in use, so that only its release
+    // makes it available to other frontends.
     CapReleased_ = CapReleased_ || Vm->second.InFlight > Vm->second.Cap;
     --Vm->second.InFlight;
     double &Smoothed = HoldTimeMsByService_[Vm->second.Service];
--- a/packages/daemon/src/GrantAllocator.cpp
+++ b/packages/daemon/src/GrantAllocator.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Stands for the requests of daemons that are not heard of.
+/// Holds the caps for requests in flight of daemons that sent no grant request
+/// to this owner.
 constexpr const char *UnreportedHolderId = "unheard";
 
 std::string holderId(const GrantRequest &Request) {
@@ -102,7 +103,7 @@
     std::map<std::string, LimitedResource> &Resources,
     const std::string &HolderId, const CountByName &Caps, bool FirstRequest,
     std::set<std::string> &DaemonsToNotify) {
-  // The report is what the front door may use: it ignores the answers to all
+  // The reported caps are all that the frontend may use: it ignores replies to
   // its earlier requests from now on.
   for (auto &[Name, Resource] : Resources) {
     const int Cap = countOf(Caps, Name);
@@ -126,7 +127,8 @@
 
 int GrantAllocator::grantableLimit(const LimitedResource &Resource,
                                    bool ByCustomer) const {
-  // Until all is settled, what the reports don't account for may be in use.
+  // During the recovery period, capacity that no frontend has reported may be
+  // in use on an earlier owner's grants.
   if (!recovered())
     return std::min(Resource.Limit, Resource.ReportedCap);
   if (!ByCustomer || DaemonNames_.empty())
@@ -143,9 +145,9 @@
 CountByName GrantAllocator::targetCaps(const std::string &Name,
                                        const LimitedResource &Resource,
                                        bool ByCustomer) const {
-  // Half is split evenly, so that a first request needs no message and each
-  // front door has something to go on with under a new owner; half goes where
-  // the demand is.
+  // Half is split evenly, so that the first request at a frontend can start
+  // without a message to the owner, and each frontend keeps some capacity while
+  // the owner changes. The other half follows the demand.
   const TimePoint Now = MonotonicClock_.now();
   std::vector<double> Weights;
   std::vector<std::string> Names;
@@ -181,8 +183,8 @@
     const int Cap = grantCap(Resource, HolderId, Target, ByCustomer);
     if (Cap > 0)
       Caps[Name] = Cap;
-    // A VM's slots are spread over many VMs; only a lack that makes a request
-    // wait is worth a message.
+    // A service's slots are spread over many VMs. A cap below its target is
+    // worth a message only if requests have to wait for it.
     if (Cap >= Target || Demand <= Cap) {
       Resource.HoldersBelowTarget.erase(HolderId);
       continue;
@@ -222,7 +224,7 @@
   }
   GrantHolder &Holder = Holders_[HolderId];
   if (!FirstRequest && Request.Seq <= Holder.Seq) {
-    // A delayed copy: what it reports is out of date.
+    // A delayed or repeated message: its report is out of date.
     Out.Reply.Seq = 0;
     return Out;
   }
@@ -281,7 +283,8 @@
 void GrantAllocator::finishRecovery(const CountByName &OnVms,
                                     const CountByName &OfCustomers) {
   RecoveryEndsAt_ = MonotonicClock_.now();
-  // They end within the settling time, when a silent holder is forgotten.
+  // As if the holder's lease had lapsed just now: its requests have ended
+  // before removeExpiredHolders() removes it.
   Holders_[UnreportedHolderId].LastRequestAt =
       MonotonicClock_.now() - Timings_.Lease;
   for (const auto &[Vm, Count] : OnVms)
--- a/packages/daemon/src/GrantMessages.cpp
+++ b/packages/daemon/src/GrantMessages.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Field names are short: these messages are the bulk of the control traffic.
+// Field names are short because these messages make up most of the control
+// traffic between daemons.
 
 nlohmann::json toJson(const GrantRequest &Message) {
   return {{"k", "q"},
@@ -141,7 +142,7 @@
       return readReply(Body);
     if (Kind == "n")
       return readNotice(Body);
-    return failure(ErrorCode::MalformedInput, "kind of peer message");
+    return failure(ErrorCode::MalformedInput, "unknown kind of peer message");
   } catch (const nlohmann::json::exception &Fault) {
     return failure(ErrorCode::MalformedInput, Fault.what());
   }
