--- a/packages/daemon/include/cuminroad/daemon/Ownership.h
+++ b/packages/daemon/include/cuminroad/daemon/Ownership.h
@@ -12,50 +12,64 @@
 
 namespace cuminroad {
 
-/// Who schedules a failure domain, as far as this daemon knows.
+/// The daemon that owns a failure domain and schedules its work, as far as this
+/// daemon knows.
 struct OwnerInfo {
+  /// Name of the owner's daemon.
   std::string Holder;
   std::string Incarnation;
+  /// "address:port" for HTTP.
   std::string Http;
+  /// "address:port" for messages between daemons.
   std::string Peer;
+  /// Increases with each change of the owner.
   std::int64_t Epoch = 0;
 };
 
-/// Decides which daemon of the domain is its owner, by a row in the table that
-/// the owner renews. A standby takes a row over that has not changed for the
-/// length of the lease, by its own clock. Runs on the control thread.
+/// Elects the owner of the domain among its daemons, by a row of the table that
+/// the owner renews. A standby takes over when the row has not changed for the
+/// length of the lease, measured by the standby's own clock. Runs on the
+/// control thread.
 ///
-/// An owner that can't reach the table stays owner: what it may do is then
-/// bounded by the VMs, which refuse an older epoch once a newer one has claimed
-/// them, and by a newer owner's notice.
+/// An owner that can't reach the table stays owner. What it can do is then
+/// limited by the VMs, which refuse an older epoch once a newer one has claimed
+/// them, and ends when it receives a newer owner's notice.
 class Ownership {
 public:
   Ownership(Table &Rows, Loop &ControlLoop, const Clock &MonotonicClock,
             EventLog &Events, const Settings &Config, const Identity &Self);
 
+  /// Begins to poll the owner's row.
   void start();
-  /// Stops being owner, and never becomes it again in this process.
+  /// Gives up ownership and never takes it again in this process. \p Done is
+  /// called when the row names no holder, or the attempt to write that failed.
   void release(std::function<void()> Done);
-  /// Another daemon holds \p Other.Epoch; takes it as the owner if it is newer.
+  /// Another daemon holds \p Other.Epoch; it becomes the known owner if that
+  /// epoch is newer.
   void observe(const OwnerInfo &Other);
-  /// A VM or the table showed that another daemon has \p Epoch, which may be
-  /// this daemon's own number: stops being owner.
+  /// Gives up ownership because a VM or the table showed that another daemon
+  /// holds \p Epoch, which may be equal to this daemon's own epoch.
   void stepDown(std::int64_t Epoch);
-  /// Becomes owner on the word of the VMs alone, while the table is down.
+  /// Becomes owner while the table can't be reached, because the VMs reported
+  /// that their leases are not renewed.
   void takeOverWithoutTable();
-  /// This daemon must not become owner before \p Until.
+  /// Prevents this daemon from becoming owner before \p Until.
   void forbidTakeoverUntil(TimePoint Until) { TakeoverAllowedAt_ = Until; }
 
   bool isOwner() const { return IsOwner_; }
   const OwnerInfo &owner() const { return Owner_; }
-  /// Whether the row in the table is this daemon's and its lease holds.
+  /// Whether the row in the table names this daemon and its lease is valid.
   bool isLeaseValid() const;
-  /// The version of the row that changes with the epoch only; 0 without one.
+  /// \returns the version of the epoch row, which changes only with the epoch;
+  /// 0 if this daemon does not own the domain by the table.
   std::int64_t epochRowVersion() const { return EpochRowVersion_; }
   std::string epochKey() const;
 
-  /// Called with whether an earlier owner existed.
+  /// Called when this daemon becomes owner; \p Inherited tells whether there
+  /// was an earlier owner.
   std::function<void(bool Inherited)> OnTaken;
+  /// Called when this daemon stops being owner, also for a new epoch of its
+  /// own.
   std::function<void()> OnLost;
 
 private:
@@ -80,8 +94,10 @@
   bool Released_ = false;
   TimePoint TakeoverAllowedAt_{};
   std::int64_t LastSeenRowVersion_ = -1;
+  /// Since when the row has been read without a change or an interruption.
   TimePoint RowUnchangedSince_{};
   TimePoint LastReadAt_{};
+  /// Version of this daemon's owner row; 0 without one.
   std::int64_t OwnerRowVersion_ = 0;
   std::int64_t EpochRowVersion_ = 0;
   TimePoint LeaseEndsAt_{};
--- a/packages/daemon/src/Ownership.cpp
+++ b/packages/daemon/src/Ownership.cpp
@@ -52,8 +52,8 @@
 
 void Ownership::examineOwnerRow(const TableRow &Row) {
   const TimePoint Now = MonotonicClock_.now();
-  // While the row can't be read, its owner can't renew it either, or renews it
-  // unseen: that time doesn't count.
+  // While this daemon can't read the row, the owner may be unable to renew it,
+  // or renews it unseen. That time does not count towards the lease.
   const bool ReadsInterrupted =
       Now - LastReadAt_ > Config_.Times.OwnerLease / 2;
   LastReadAt_ = Now;
@@ -66,8 +66,8 @@
                     Row.Value.value("incarnation", ""),
                     Row.Value.value("http", ""), Row.Value.value("peer", ""),
                     Row.Value.value("epoch", std::int64_t(0))};
-    // The row of an owner that handed over names no holder, and one of this
-    // name's earlier process has nobody behind it.
+    // An owner that released its row left no holder in it, and the process that
+    // an earlier incarnation of this daemon's name stands for has ended.
     const bool Vacant =
         Other.Holder.empty() ||
         (Other.Holder == Self_.Name && Other.Incarnation != Self_.Incarnation);
@@ -75,7 +75,7 @@
       observe(Other);
     Owner_.Epoch = std::max(Owner_.Epoch, Other.Epoch);
     const bool Lapsed = Now - RowUnchangedSince_ > Config_.Times.OwnerLease;
-    // An owner that was chosen without the table writes itself in.
+    // An owner that took over without the table writes its own row now.
     const bool HoldsNewerEpoch = IsOwner_ && Owner_.Epoch > Other.Epoch;
     if (!Vacant && !Lapsed && !HoldsNewerEpoch)
       return schedulePoll();
@@ -100,7 +100,8 @@
                    OwnerRowVersion_ = Outcome->Revision;
                    EpochRowVersion_ = Outcome->Revision;
                    LeaseEndsAt_ = SentAt + Config_.Times.OwnerLease;
-                   // An owner chosen without the table begins a new term.
+                   // An owner that took over without the table begins a new
+                   // term under an epoch that is in the table.
                    if (IsOwner_ && OnLost)
                      OnLost();
                    becomeOwner(Epoch, Inherited);
@@ -151,8 +152,8 @@
 }
 
 void Ownership::stepDown(std::int64_t Epoch) {
-  // The number is not raised beyond what was seen: a higher one would make
-  // this daemon deaf to the real owner.
+  // The epoch is not raised above the one that was seen: observe() would ignore
+  // the actual owner if its epoch were lower.
   if (IsOwner_ && Epoch >= Owner_.Epoch)
     loseOwnership();
   Owner_.Epoch = std::max(Owner_.Epoch, Epoch);
@@ -188,7 +189,7 @@
   }
   if (!HoldsRow)
     return Done();
-  // The row stays, with no holder, so that the epoch goes on rising.
+  // The row stays, without a holder, so that the epoch goes on increasing.
   nlohmann::json Vacant = rowValue(Owner_.Epoch);
   Vacant["holder"] = "";
   Transaction Change;
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -12,7 +12,7 @@
 
 constexpr milliseconds CheckInterval{1000};
 constexpr milliseconds QueryTimeout{1000};
-/// Beyond the time for which a VM may hold a renewal back.
+/// Added to the time for which a VM may hold back its reply to a renewal.
 constexpr milliseconds RenewalMargin{2000};
 
 } // namespace
@@ -78,6 +78,7 @@
 }
 
 void TablelessTakeover::finishRound(const PollRound &Round) {
+  // One renewed lease is enough to show that the owner is alive.
   const bool Majority = Round.StaleLeases * 2 > Parts_.LastListing.Vms.size();
   if (isDue() && Majority && Round.FreshLeases == 0) {
     OwnerInfo Last = Parts_.Owners.owner();
