--- a/packages/daemon/include/cuminroad/daemon/ShareRow.h
+++ b/packages/daemon/include/cuminroad/daemon/ShareRow.h
@@ -12,50 +12,57 @@
 
 namespace cuminroad {
 
-/// The parts of a limit that can move between failure domains.
+/// An amount of those limits that can be transferred between failure domains.
 struct ShareAmount {
+  /// Capacity held by tasks.
   Capacity Held;
+  /// Requests in flight.
   std::int64_t Requests = 0;
 
   bool operator==(const ShareAmount &) const = default;
   ShareAmount &operator+=(const ShareAmount &Other);
   ShareAmount &operator-=(const ShareAmount &Other);
-  /// \returns whether any part is above zero.
+  /// \returns whether any component is above zero.
   bool anyPositive() const;
 };
 
-/// \returns the smaller of each part.
+/// \returns the smaller value of each component.
 ShareAmount componentMin(const ShareAmount &Left, const ShareAmount &Right);
-/// \returns each part, or 0 where it is negative.
+/// \returns \p Amount with 0 for each negative component.
 ShareAmount clampToZero(const ShareAmount &Amount);
 
-/// What a domain would use if it had it.
+/// A domain's request for a larger part of a customer's limits.
 struct TransferRequest {
+  /// What is still missing.
   ShareAmount Amount;
-  /// Rises with each new want. Who wanted first is served first, also by those
-  /// who want themselves: two that wait for each other's unused parts would
-  /// wait for ever.
+  /// Increases with each new request. The oldest request is served first, also
+  /// by domains that have requests themselves; otherwise two domains could wait
+  /// for each other's unused parts forever.
   std::int64_t Order = 0;
 
   bool operator==(const TransferRequest &) const = default;
 };
 
-/// How one customer's limits are shared out over failure domains: a row of the
-/// table that exists once parts have moved.
+/// How one customer's limits are divided among the failure domains. The table
+/// has such a row for a customer from the first transfer request on; before
+/// that, evenShares() applies.
 ///
 /// Invariant: the parts never add up to more than Limit. Only a domain's owner
-/// lowers the domain's part, after it has stopped using what it gives away.
+/// lowers the domain's part, after the domain has stopped using the difference.
 struct ShareRow {
-  /// The limits for which the parts were made.
+  /// The contract's limits that the parts were computed for.
   ShareAmount Limit;
+  /// By domain, as the requests.
   std::map<std::string, ShareAmount> Parts;
   std::map<std::string, TransferRequest> TransferRequests;
 
-  /// Notes what \p Domain wants; it keeps its place in the line.
+  /// Sets the amount that \p Domain requests. A domain that has a request keeps
+  /// its place in the order.
   void requestTransfer(const std::string &Domain, const ShareAmount &Amount);
-  /// \returns the domain that is first in the line, or "".
+  /// \returns the domain with the oldest request, or "".
   std::string nextRecipient() const;
-  /// Moves \p Amount from one domain to another.
+  /// Moves \p Amount from the part of one domain to that of another, and lowers
+  /// the recipient's request by it.
   void transfer(const std::string &From, const std::string &To,
                 const ShareAmount &Amount);
 };
@@ -63,25 +70,27 @@
 Result<ShareRow> parseShareRow(const nlohmann::json &Input);
 nlohmann::json toJson(const ShareRow &Row);
 
-/// \returns the movable limits of a contract.
+/// \returns the limits of a contract that can be transferred between domains.
 ShareAmount transferableLimits(const ContractTerms &Terms);
-/// \returns the row from which all domains start.
+/// \returns the row that applies before any transfer: even parts, no requests.
 ShareRow evenShares(const ContractTerms &Terms, const std::string &Customer,
                     const std::vector<std::string> &Domains);
-/// \returns \p Row brought to the limits of \p Terms: parts are scaled and
-/// rounded down, so that what a domain may use by any version of the contract
-/// does not grow. Limits that were 0 are shared out evenly; for limits that are
-/// 0 now, the row keeps what it has for later.
+/// \returns \p Row adjusted to the limits of \p Terms. Parts are scaled and
+/// rounded down, so that this never increases what a domain may use under any
+/// version of the contract. Limits that were 0 are divided evenly. For limits
+/// that are 0 now, the row keeps its parts, in case the limit is raised again.
 ShareRow scaledToTerms(const ShareRow &Row, const ContractTerms &Terms,
                        const std::string &Customer,
                        const std::vector<std::string> &Domains);
-/// \returns the terms with the limits that \p Domain may use under \p Row.
+/// \returns \p Terms with the limits that \p Domain may use according to \p
+/// Row.
 ContractTerms termsForDomain(const ShareRow &Row, const ContractTerms &Terms,
                              const std::string &Customer,
                              const std::string &Domain,
                              const std::vector<std::string> &Domains);
-/// \returns what a domain does not give away, so that it can start the next
-/// work at once: half of its even part, for requests and for urgent customers.
+/// \returns the part that a domain never transfers, so that it can start its
+/// next work at once: half of its even part of the requests and, for urgent
+/// customers, of the capacity for tasks.
 ShareAmount reservedShare(const ContractTerms &Terms,
                           const std::string &Customer,
                           const std::string &Domain,
--- a/packages/daemon/src/DomainShare.cpp
+++ b/packages/daemon/src/DomainShare.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// FNV-1a: every daemon must come to the same result, which std::hash does not
-/// promise.
+/// FNV-1a. Every daemon must get the same result, which std::hash does not
+/// guarantee.
 std::size_t stableHash(const std::string &Text) {
   std::uint64_t Hash = 14695981039346656037ULL;
   for (const unsigned char Byte : Text)
--- a/packages/daemon/src/ShareManager.cpp
+++ b/packages/daemon/src/ShareManager.cpp
@@ -8,11 +8,13 @@
 
 namespace {
 
+/// Written with each change of a share row, so that one read tells whether
+/// anything changed.
 constexpr const char *HeadKey = "share-head";
 constexpr const char *RowPrefix = "share/";
 constexpr milliseconds PollInterval{1000};
-/// One row is written at a time, and at most one each interval, which bounds
-/// the writes of all domains.
+/// At most one row is written at a time and in each interval, which bounds the
+/// write rate of all domains together.
 constexpr milliseconds RebalanceInterval{500};
 
 } // namespace
@@ -28,7 +30,8 @@
 }
 
 void ShareManager::start() {
-  // An owner that was chosen without the table has what no domain gives away.
+  // An owner that was chosen without the table may use only its reserved share,
+  // which no domain ever transfers; it needs no rows for that.
   if (!Context_.ChosenByTable)
     return;
   poll();
@@ -46,8 +49,8 @@
   const ShareRow Row = Found == CachedRows_.end()
                            ? evenShares(Terms, Customer, Context_.Domains)
                            : Found->second.Row;
-  // Until the rows are read, parts may have moved: only what no domain gives
-  // away is certain.
+  // Until the rows are read, parts may have been transferred: only the reserved
+  // share, which is never transferred, can be relied on.
   if (!Loaded_) {
     const ShareAmount Least = componentMin(
         reservedShare(Terms, Customer, Context_.Domain, Context_.Domains),
@@ -106,7 +109,8 @@
       const std::string Customer =
           Row.Key.substr(std::string_view(RowPrefix).size());
       const auto Parsed = parseShareRow(Row.Value);
-      // A scan that began before one of our own writes is older than it.
+      // A scan that began before one of this manager's writes has an older
+      // version of the row.
       CachedRow &Cached = Self->CachedRows_[Customer];
       if (Parsed && Row.Version > Cached.Version)
         Cached = CachedRow{*Parsed, Row.Version};
@@ -129,7 +133,8 @@
 }
 
 void ShareManager::rebalanceAll() {
-  // Begins behind the customer that was written last, so that each has a turn.
+  // Begins after the customer whose row was written last, so that each customer
+  // has its turn.
   auto Next = Contracts_.upper_bound(LastWrittenCustomer_);
   for (std::size_t Left = Contracts_.size(); Left > 0 && !Writing_; --Left) {
     if (Next == Contracts_.end())
@@ -151,8 +156,8 @@
     return startTransfer(Customer, Terms, Demand);
   if (requestMore(Customer, Terms, Shortfall))
     return;
-  // Another one wanted first: what is not in use goes to it, though this domain
-  // waits for more as well.
+  // Another domain requested first. It gets what is not in use here, although
+  // this domain needs more as well.
   if (CachedRows_.at(Customer).Row.nextRecipient() != Context_.Domain)
     startTransfer(Customer, Terms, Usage_.maxUsage(Customer));
 }
@@ -167,7 +172,7 @@
         Found->second.Version};
   else
     Cached.Row = evenShares(Terms, Customer, Context_.Domains);
-  // What was asked for and has not come yet is asked for once.
+  // The request that was written before still stands.
   const auto Requested = Cached.Row.TransferRequests.find(Context_.Domain);
   if (Requested != Cached.Row.TransferRequests.end() &&
       componentMin(Requested->second.Amount, Shortfall) == Shortfall)
@@ -186,7 +191,7 @@
   ShareRow Row =
       scaledToTerms(Found->second.Row, Terms, Customer, Context_.Domains);
   if (Row.nextRecipient() == Context_.Domain) {
-    // It has what it needs by now.
+    // The domain has what it needs by now.
     Row.TransferRequests.erase(Context_.Domain);
     return write(Customer, Row, Found->second.Version, [] {});
   }
@@ -205,7 +210,7 @@
   if (!Amount.anyPositive())
     return;
   Transfers_[Customer] = Transfer{To, Amount};
-  // From here on the domain's own limit is lower.
+  // From here on currentShare() is lower.
   if (OnChanged)
     OnChanged();
 }
@@ -227,7 +232,8 @@
   if (!NoLongerUsed || !Usage_.usageFullyKnown())
     return;
   ShareRow Row = scaledToTerms(Cached.Row, Terms, Customer, Context_.Domains);
-  // A contract that became smaller may have left less than was promised.
+  // If the contract became smaller, the domain may have less than the amount to
+  // be transferred.
   const ShareAmount OwnPart = Row.Parts[Context_.Domain];
   if (componentMin(OwnPart, Pending.Amount) != Pending.Amount) {
     Transfers_.erase(Customer);
--- a/packages/daemon/src/ShareRow.cpp
+++ b/packages/daemon/src/ShareRow.cpp
@@ -34,7 +34,7 @@
   return Out;
 }
 
-/// One of the numbers of an amount.
+/// Returns a reference to one component of an amount.
 using ComponentAccessor = std::int64_t &(*)(ShareAmount &);
 constexpr ComponentAccessor ComponentAccessors[] = {
     [](ShareAmount &Amount) -> std::int64_t & {
@@ -176,7 +176,7 @@
   const ShareRow Scaled = scaledToTerms(Row, Terms, Customer, Domains);
   const auto Found = Scaled.Parts.find(Domain);
   ContractTerms Out = Terms;
-  // A part that the row keeps for later is more than a limit of 0.
+  // For a limit of 0 the row may still have a part; the limit applies.
   const ShareAmount DomainPart =
       componentMin(Found == Scaled.Parts.end() ? ShareAmount() : Found->second,
                    transferableLimits(Terms));
