--- a/packages/daemon/include/cuminroad/daemon/ContractRegistry.h
+++ b/packages/daemon/include/cuminroad/daemon/ContractRegistry.h
@@ -11,10 +11,11 @@
 
 namespace cuminroad {
 
-/// The terms in force in this daemon, by customer.
+/// The terms that this daemon applies, by customer.
 using ContractTermsByCustomer = std::map<std::string, ContractTerms>;
 
-/// Hands the terms in force from the control thread to the traffic threads.
+/// The terms that this daemon applies. Written on the control thread, read on
+/// any.
 class ContractRegistry {
 public:
   /// Replaces all terms at once.
@@ -22,7 +23,7 @@
     Current_.store(
         std::make_shared<const ContractTermsByCustomer>(std::move(Terms)));
   }
-  /// \returns the customer's terms, or nothing without a contract in force.
+  /// \returns the customer's terms, or nothing if it has no contract in force.
   std::optional<ContractTerms> find(const std::string &Customer) const {
     const auto Terms = Current_.load();
     const auto Found = Terms->find(Customer);
--- a/packages/daemon/include/cuminroad/daemon/MemberRegistry.h
+++ b/packages/daemon/include/cuminroad/daemon/MemberRegistry.h
@@ -11,10 +11,11 @@
 
 namespace cuminroad {
 
-/// The daemons that are members, as last read from the table. Written on the
-/// control thread, read on any.
+/// The daemons that are registered as members, as last read from the table.
+/// Written on the control thread, read on any.
 class MemberRegistry {
 public:
+  /// Replaces all members at once.
   void publish(std::map<std::string, Identity> Members) {
     const std::lock_guard Lock(Mutex_);
     Members_ = std::move(Members);
--- a/packages/daemon/src/ConfigManager.cpp
+++ b/packages/daemon/src/ConfigManager.cpp
@@ -12,14 +12,15 @@
 namespace {
 
 constexpr const char *HeadKey = "config/head";
+/// Before registering again after a failure.
 constexpr milliseconds RetryDelay{500};
 /// How often the acknowledgements of a pending change are read.
 constexpr milliseconds AdvanceInterval{250};
-/// A change whose proposer has not completed it by then is completed by any
-/// daemon.
+/// After this time any daemon may complete a change that its proposer has not
+/// completed.
 constexpr milliseconds ProposerTimeout{3000};
-/// Changes are to be in force everywhere within this time; a call that
-/// proposes one waits no longer.
+/// Changes should be in force everywhere within this time; a call that proposes
+/// one returns after it at the latest.
 constexpr milliseconds InForceTimeout{16000};
 
 std::string contractKey(const std::string &Customer) {
@@ -115,7 +116,8 @@
 }
 
 void ConfigManager::reload(std::int64_t Head) {
-  // The rows are read after the head, so they hold all changes up to it.
+  // The rows are read after the head row, so they contain all changes up to its
+  // version.
   Rows_.scan("contract/", [this, Head](Result<std::vector<TableRow>> Rows) {
     if (!Rows)
       return finishPoll();
@@ -190,7 +192,8 @@
       ContractsChanged_ = false;
       return;
     }
-    // Read everything again: the row may have been replaced or removed.
+    // Makes the next poll read everything again: the member row may have been
+    // replaced or removed.
     AppliedHead_ = 0;
   });
 }
@@ -249,7 +252,7 @@
     if (!Outcome->committed()) {
       Events_.record(EventId::ContractConflict, Change.Customer, "race");
       return Done(failure(ErrorCode::VersionConflict,
-                          "another operator's change came first"));
+                          "another operator's change was written first"));
     }
     Events_.record(EventId::ContractProposed, Change.Customer, ChangeId);
     WaitingProposals_.push_back(WaitingProposal{Change.Customer, ChangeId, Done,
@@ -340,7 +343,7 @@
             Found->second.RowVersion)
           Out.UnacknowledgedBy.push_back(readMember(Row).Name);
     }
-    // Acknowledgements of an accepted row say that its new terms apply.
+    // A daemon that acknowledged the accepted row applies its new terms.
     Out.InForce =
         Out.Accepted && !Members.empty() && Out.UnacknowledgedBy.empty();
     if (Out.InForce ||
