--- a/packages/daemon/tests/GrantTest.cpp
+++ b/packages/daemon/tests/GrantTest.cpp
@@ -1,5 +1,6 @@
-// Grants between an owner and front doors over a network that loses, repeats
-// and delays messages: no VM's slots and no customer's share is ever exceeded.
+// Guards against more requests in flight than a VM has slots or a customer's
+// share allows. This could come about when messages between the owner and the
+// frontends are lost, repeated or delayed, or when the owner changes.
 
 #include <algorithm>
 #include <cstdlib>
@@ -21,8 +22,9 @@
 constexpr milliseconds MaxRequestTime{2000};
 constexpr milliseconds RequestDrainTime{8000};
 constexpr int SlotsPerVm = 8;
-/// Below all slots in some histories, above them in others.
+/// The first is below the number of all slots, the second above it.
 constexpr int CustomerShares[] = {10, 40};
+/// Requests queued at once; more than a VM has slots.
 constexpr int BurstSize = 10;
 constexpr int FrontendCount = 3;
 constexpr int VmCount = 2;
@@ -34,7 +36,7 @@
 };
 BOOST_GLOBAL_FIXTURE(FixedSeed);
 
-/// A front door that takes what it gets and holds it for a while.
+/// A frontend that uses all slots assigned to it for a while.
 struct Frontend {
   std::string Name;
   AdmissionController Controller;
@@ -51,8 +53,10 @@
   ManualClock TestClock;
   std::unique_ptr<GrantAllocator> Owner;
   std::vector<Frontend> Frontends;
+  /// Messages on the network.
   std::vector<GrantRequest> Requests;
   std::vector<std::pair<int, GrantReply>> Replies;
+  /// Describes a limit that was exceeded; empty if there is none.
   std::string Violation;
   TimePoint OwnedSince{};
 
@@ -74,13 +78,13 @@
     for (int Index = 0; Index < VmCount; ++Index)
       Owner->setVm(fmt::format("vm{}", Index), "s", SlotsPerVm);
     Owner->setCustomer("c", Share);
-    // A new owner doesn't get what was sent to the old one.
+    // A new owner doesn't receive messages sent to the previous one.
     Requests.clear();
     OwnedSince = TestClock.now();
   }
 
-  /// Once all earlier leases are over, the VMs tell what daemons that the owner
-  /// has not heard of have in flight.
+  /// When the leases of all earlier grants have lapsed, the VMs report their
+  /// requests in flight from daemons that are unknown to the owner.
   void finishRecoveryWhenDue() {
     if (Owner->recovered() || TestClock.now() - OwnedSince <= Lease)
       return;
@@ -118,7 +122,7 @@
     case 3:
     case 4:
     case 5:
-      // Any message may come next, and stay to come again.
+      // Any message may be delivered next, and may be delivered again later.
       if (!Requests.empty()) {
         const GrantRequest Request = Requests[Argument % Requests.size()];
         if (Argument % 3 != 0)
@@ -156,11 +160,11 @@
       endOldestRequest(Chosen);
       break;
     default:
-      // More than there is, so that each cap is used up.
+      // More requests than slots, so that each cap is used up.
       for (int Count = 0; Count < BurstSize; ++Count)
         enqueue(Chosen);
     }
-    // Requests end by themselves within their longest time.
+    // Requests end by themselves after MaxRequestTime.
     for (Frontend &Each : Frontends)
       while (!Each.HeldSlots.empty() &&
              TestClock.now() - Each.HeldSlots.front().second >= MaxRequestTime)
@@ -201,9 +205,10 @@
       }
     for (const auto &[Vm, Count] : OnVm)
       if (Count > SlotsPerVm)
-        Violation = fmt::format("{} on {}", Count, Vm);
+        Violation = fmt::format("{} requests in flight on {}", Count, Vm);
     if (OfCustomer > Share)
-      Violation = fmt::format("{} of the customer", OfCustomer);
+      Violation =
+          fmt::format("{} requests of the customer in flight", OfCustomer);
   }
 };
 
--- a/packages/daemon/tests/OwnershipTest.cpp
+++ b/packages/daemon/tests/OwnershipTest.cpp
@@ -1,5 +1,6 @@
-// A daemon that learns several times that it is not the owner stays ready to
-// hear the real one.
+// Guards against a daemon that ignores the new owner of its domain: each VM
+// that refused the old epoch could have raised the daemon's epoch above the new
+// one.
 
 #include <boost/test/unit_test.hpp>
 
@@ -10,13 +11,14 @@
 
 namespace {
 
+/// Never runs its work.
 class IdleLoop final : public Loop {
 public:
   void post(Work) override {}
   void after(milliseconds, Work) override {}
 };
 
-/// Takes every commit and has no row.
+/// Commits every transaction, and finds no row when read.
 class EmptyTable final : public Table {
 public:
   void commit(Transaction, CommitDone Done) override {
@@ -48,7 +50,7 @@
   Owners.start();
   BOOST_REQUIRE(Owners.isOwner());
   const std::int64_t Epoch = Owners.owner().Epoch;
-  // Three VMs are held by another daemon under the same epoch.
+  // Three VMs report that another daemon holds them under the same epoch.
   for (int Vm = 0; Vm < 3; ++Vm)
     Owners.stepDown(Epoch);
   BOOST_CHECK(!Owners.isOwner());
--- a/packages/daemon/tests/ShareTest.cpp
+++ b/packages/daemon/tests/ShareTest.cpp
@@ -1,6 +1,7 @@
-// Parts of a customer's limits move between domains by a table that loses
-// replies; whatever happens in whatever order, the parts in use never add up
-// to more than the contract.
+// Guards against domains that together use more of a customer's limits than the
+// contract allows. This could come about when parts are transferred through a
+// table whose replies are delayed and reordered, or are lost because the owner
+// of a domain is replaced.
 
 #include <cstdlib>
 #include <deque>
@@ -35,7 +36,7 @@
   return Terms;
 }
 
-/// Runs one piece of work, chosen by the test, at a time.
+/// Runs its work in the order that the test chooses, one piece at each step().
 class AnyOrderLoop final : public Loop {
 public:
   void post(Work Run) override { Waiting.push_back(std::move(Run)); }
@@ -53,7 +54,7 @@
   std::deque<Work> Waiting;
 };
 
-/// A table whose answers come later, in any order.
+/// A table whose replies come later, in any order.
 class SlowTable final : public Table {
 public:
   explicit SlowTable(Loop &ControlLoop) : ControlLoop_(ControlLoop) {}
@@ -88,7 +89,7 @@
   std::int64_t Revision_ = 0;
 };
 
-/// A domain that uses what it may, up to what it wants.
+/// A domain that uses as much of its share as it wants.
 struct SimulatedDomain final : DomainUsage {
   ShareAmount Wanted;
   ShareAmount Used;
@@ -113,6 +114,7 @@
     Grow(Used.Held.MilliCores, Wanted.Held.MilliCores, Allowed.Held.MilliCores);
     Grow(Used.Requests, Wanted.Requests, Allowed.Requests);
   }
+  /// Ends the usage beyond what the domain wants.
   void releaseUnwanted() {
     Used.Held.MilliCores =
         std::min(Used.Held.MilliCores, Wanted.Held.MilliCores);
@@ -199,11 +201,12 @@
         DomainsAboveEvenPartCount += Simulated.DomainsAboveEvenPart.size();
       });
   BOOST_CHECK(Passed);
-  // Histories in which nothing moved would prove nothing.
+  // Runs in which nothing was transferred would prove nothing.
   BOOST_CHECK_GT(DomainsAboveEvenPartCount, 50);
 }
 
-// Each of two domains waits for more than its part, all or nothing.
+// Guards against two domains that wait for each other's unused parts forever:
+// each needs more than its even part, and can use nothing less.
 BOOST_AUTO_TEST_CASE(twoDomainsThatRequestMoreThanTheirPartAreBothServed) {
   Simulation Simulated;
   for (const char *Domain : {"d1", "d2"})
@@ -219,7 +222,7 @@
               Chosen.Manager->currentShare(Customer, Chosen.Terms))
               .Held.MilliCores < Chosen.Wanted.Held.MilliCores)
         continue;
-      // The work runs, ends, and leaves the part to others.
+      // The work runs and ends, and its part becomes available to others.
       Served.insert(Domain);
       Chosen.Wanted = {};
     }
