--- a/packages/daemon/include/cuminroad/daemon/Ownership.h
+++ b/packages/daemon/include/cuminroad/daemon/Ownership.h
@@ -65,11 +65,11 @@
   std::int64_t epochRowVersion() const { return EpochRowVersion_; }
   std::string epochKey() const;
 
-  /// Called when this daemon becomes owner; \p Inherited tells whether there
-  /// was an earlier owner.
+  /// Called when this daemon becomes owner. \p Inherited is true if there was
+  /// an earlier owner.
   std::function<void(bool Inherited)> OnTaken;
-  /// Called when this daemon stops being owner, also for a new epoch of its
-  /// own.
+  /// Called when this daemon stops being owner, and before OnTaken when an
+  /// owner that took over without the table begins a new term.
   std::function<void()> OnLost;
 
 private:
--- a/packages/daemon/include/cuminroad/daemon/ShareRow.h
+++ b/packages/daemon/include/cuminroad/daemon/ShareRow.h
@@ -52,7 +52,7 @@
 struct ShareRow {
   /// The contract's limits that the parts were computed for.
   ShareAmount Limit;
-  /// By domain, as the requests.
+  /// Parts and requests by domain.
   std::map<std::string, ShareAmount> Parts;
   std::map<std::string, TransferRequest> TransferRequests;
 
@@ -82,8 +82,7 @@
 ShareRow scaledToTerms(const ShareRow &Row, const ContractTerms &Terms,
                        const std::string &Customer,
                        const std::vector<std::string> &Domains);
-/// \returns \p Terms with the limits that \p Domain may use according to \p
-/// Row.
+/// \returns \p Terms with the limits that \p Row allows \p Domain to use.
 ContractTerms termsForDomain(const ShareRow &Row, const ContractTerms &Terms,
                              const std::string &Customer,
                              const std::string &Domain,
--- a/packages/daemon/tests/ShareTest.cpp
+++ b/packages/daemon/tests/ShareTest.cpp
@@ -232,7 +232,7 @@
 
 BOOST_AUTO_TEST_CASE(scalingNeverIncreasesTheSum) {
   rc::check(
-      "scaling never grows the sum",
+      "scaling never increases the sum",
       [](std::uint16_t A, std::uint16_t B, std::uint16_t C, std::uint16_t To) {
         ShareRow Row;
         Row.Parts["d1"].Held.MilliCores = A;
