--- a/packages/daemon/include/cuminroad/daemon/ContractBook.h
+++ b/packages/daemon/include/cuminroad/daemon/ContractRegistry.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_CONTRACTBOOK_H
-#define CUMINROAD_DAEMON_CONTRACTBOOK_H
+#ifndef CUMINROAD_DAEMON_CONTRACTREGISTRY_H
+#define CUMINROAD_DAEMON_CONTRACTREGISTRY_H
 
 #include <atomic>
 #include <map>
@@ -11,18 +11,19 @@
 
 namespace cuminroad {
 
-/// The terms in force in this daemon, by customer.
+/// The terms that this daemon applies, by customer.
 using ContractTermsByCustomer = std::map<std::string, ContractTerms>;
 
-/// Hands the terms in force from the control thread to the traffic threads.
-class ContractBook {
+/// The terms that this daemon applies. Written on the control thread, read on
+/// any.
+class ContractRegistry {
 public:
   /// Replaces all terms at once.
   void publish(ContractTermsByCustomer Terms) {
     Current_.store(
         std::make_shared<const ContractTermsByCustomer>(std::move(Terms)));
   }
-  /// \returns the customer's terms, or nothing without a contract in force.
+  /// \returns the customer's terms, or nothing if it has no contract in force.
   std::optional<ContractTerms> find(const std::string &Customer) const {
     const auto Terms = Current_.load();
     const auto Found = Terms->find(Customer);
--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -10,11 +10,11 @@
 
 #include "cuminroad/base/EventLog.h"
 #include "cuminroad/contract/Settings.h"
-#include "cuminroad/daemon/ConfigKeeper.h"
-#include "cuminroad/daemon/GrantBook.h"
+#include "cuminroad/daemon/ConfigManager.h"
+#include "cuminroad/daemon/GrantAllocator.h"
 #include "cuminroad/daemon/Identity.h"
 #include "cuminroad/daemon/JobStore.h"
-#include "cuminroad/daemon/ShareKeeper.h"
+#include "cuminroad/daemon/ShareManager.h"
 #include "cuminroad/daemon/VmSession.h"
 #include "cuminroad/net/HttpClient.h"
 #include "cuminroad/net/Loop.h"
@@ -34,7 +34,7 @@
   /// Resolves lost replies without giving up.
   Table &Rows;
   VmList &List;
-  const ConfigKeeper &Contracts;
+  const ConfigManager &Contracts;
   /// The VMs as last listed; used where the platform can't be reached.
   VmListing LastListing;
 };
@@ -54,7 +54,7 @@
 /// decides by the scheduler, keeps the jobs' rows, and grants slots to the
 /// domain's front doors. Runs on the control thread.
 class DomainOwner final : public VmEvents,
-                          public ShareUse,
+                          public DomainUsage,
                           public std::enable_shared_from_this<DomainOwner> {
 public:
   using Submitted = std::function<void(Result<std::string>)>;
@@ -104,8 +104,8 @@
                   const std::string &Holder) override;
 
   ShareAmount demand(const std::string &Customer) const override;
-  ShareAmount bound(const std::string &Customer) const override;
-  bool certain() const override;
+  ShareAmount maxUsage(const std::string &Customer) const override;
+  bool usageFullyKnown() const override;
 
 private:
   struct KnownVm {
@@ -134,8 +134,8 @@
   struct UnheardRequests {
     std::size_t Open = 0;
     bool Complete = true;
-    Counts OnVms;
-    Counts OfCustomers;
+    CountByName OnVms;
+    CountByName OfCustomers;
   };
   void settleEarly();
   void countUnheard(const std::string &Vm,
@@ -146,9 +146,9 @@
   OwnerContext Context_;
   OwnerTerm Term_;
   std::unique_ptr<Scheduler> Scheduler_;
-  GrantBook Grants_;
+  GrantAllocator Grants_;
   std::shared_ptr<JobStore> Jobs_;
-  std::shared_ptr<ShareKeeper> Shares_;
+  std::shared_ptr<ShareManager> Shares_;
   std::map<std::string, KnownVm> Vms_;
   std::int64_t VmTable_ = 0;
   bool ListRead_ = false;
--- a/packages/daemon/include/cuminroad/daemon/MemberBook.h
+++ b/packages/daemon/include/cuminroad/daemon/MemberRegistry.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_MEMBERBOOK_H
-#define CUMINROAD_DAEMON_MEMBERBOOK_H
+#ifndef CUMINROAD_DAEMON_MEMBERREGISTRY_H
+#define CUMINROAD_DAEMON_MEMBERREGISTRY_H
 
 #include <map>
 #include <mutex>
@@ -11,10 +11,11 @@
 
 namespace cuminroad {
 
-/// The daemons that are members, as last read from the table. Written on the
-/// control thread, read on any.
-class MemberBook {
+/// The daemons that are registered as members, as last read from the table.
+/// Written on the control thread, read on any.
+class MemberRegistry {
 public:
+  /// Replaces all members at once.
   void publish(std::map<std::string, Identity> Members) {
     const std::lock_guard Lock(Mutex_);
     Members_ = std::move(Members);
--- a/packages/daemon/src/Ownership.cpp
+++ b/packages/daemon/src/Ownership.cpp
@@ -8,11 +8,11 @@
 
 namespace cuminroad {
 
-Ownership::Ownership(Table &Rows, Loop &Home, const Clock &Time,
-                     EventLog &Events, const Settings &Config,
-                     const Identity &Self)
-    : Rows_(Rows), Home_(Home), Time_(Time), Events_(Events), Config_(Config),
-      Self_(Self) {}
+Ownership::Ownership(Table &Rows, Loop &ControlLoop,
+                     const Clock &MonotonicClock, EventLog &Events,
+                     const Settings &Config, const Identity &Self)
+    : Rows_(Rows), ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
+      Events_(Events), Config_(Config), Self_(Self) {}
 
 std::string Ownership::ownerKey() const { return "owner/" + Self_.Domain; }
 std::string Ownership::epochKey() const { return "epoch/" + Self_.Domain; }
@@ -25,67 +25,70 @@
           {"epoch", Epoch}};
 }
 
-bool Ownership::leaseHolds() const { return Mine_ && Time_.now() < LeaseEnds_; }
+bool Ownership::isLeaseValid() const {
+  return IsOwner_ && MonotonicClock_.now() < LeaseEndsAt_;
+}
 
 void Ownership::start() { poll(); }
 
-void Ownership::pollSoon() {
-  const milliseconds Pause =
-      Mine_ ? Config_.Times.OwnerRenewal : Config_.Times.OwnerPoll;
-  Home_.after(Pause, [this] { poll(); });
+void Ownership::schedulePoll() {
+  const milliseconds Delay =
+      IsOwner_ ? Config_.Times.OwnerRenewal : Config_.Times.OwnerPoll;
+  ControlLoop_.after(Delay, [this] { poll(); });
 }
 
 void Ownership::poll() {
   if (Released_)
     return;
-  if (Mine_ && RowVersion_ != 0)
-    return renew();
+  if (IsOwner_ && OwnerRowVersion_ != 0)
+    return renewLease();
   Rows_.read(ownerKey(), [this](Result<TableRow> Row) {
     if (Row && !Released_)
-      examine(*Row);
+      examineOwnerRow(*Row);
     else
-      pollSoon();
+      schedulePoll();
   });
 }
 
-void Ownership::examine(const TableRow &Row) {
-  const TimePoint Now = Time_.now();
-  // While the row can't be read, its owner can't renew it either, or renews it
-  // unseen: that time doesn't count.
-  const bool Blind = Now - ReadAt_ > Config_.Times.OwnerLease / 2;
-  ReadAt_ = Now;
-  if (Row.Version != SeenVersion_ || Blind) {
-    SeenVersion_ = Row.Version;
-    SeenAt_ = Now;
+void Ownership::examineOwnerRow(const TableRow &Row) {
+  const TimePoint Now = MonotonicClock_.now();
+  // While this daemon can't read the row, the owner may be unable to renew it,
+  // or renews it unseen. That time does not count towards the lease.
+  const bool ReadsInterrupted =
+      Now - LastReadAt_ > Config_.Times.OwnerLease / 2;
+  LastReadAt_ = Now;
+  if (Row.Version != LastSeenRowVersion_ || ReadsInterrupted) {
+    LastSeenRowVersion_ = Row.Version;
+    RowUnchangedSince_ = Now;
   }
   if (Row.Version != 0) {
     OwnerInfo Other{Row.Value.value("holder", ""),
                     Row.Value.value("incarnation", ""),
                     Row.Value.value("http", ""), Row.Value.value("peer", ""),
                     Row.Value.value("epoch", std::int64_t(0))};
-    // The row of an owner that handed over names no holder, and one of this
-    // name's earlier process has nobody behind it.
+    // An owner that released its row left no holder in it, and the process that
+    // an earlier incarnation of this daemon's name stands for has ended.
     const bool Vacant =
         Other.Holder.empty() ||
         (Other.Holder == Self_.Name && Other.Incarnation != Self_.Incarnation);
     if (!Vacant)
       observe(Other);
     Owner_.Epoch = std::max(Owner_.Epoch, Other.Epoch);
-    const bool Lapsed = Now - SeenAt_ > Config_.Times.OwnerLease;
-    // An owner that was chosen without the table writes itself in.
-    const bool Newer = Mine_ && Owner_.Epoch > Other.Epoch;
-    if (!Vacant && !Lapsed && !Newer)
-      return pollSoon();
+    const bool Lapsed = Now - RowUnchangedSince_ > Config_.Times.OwnerLease;
+    // An owner that took over without the table writes its own row now.
+    const bool HoldsNewerEpoch = IsOwner_ && Owner_.Epoch > Other.Epoch;
+    if (!Vacant && !Lapsed && !HoldsNewerEpoch)
+      return schedulePoll();
   }
-  if (Now < NotBefore_)
-    return pollSoon();
-  take(Row);
+  if (Now < TakeoverAllowedAt_)
+    return schedulePoll();
+  takeOver(Row);
 }
 
-void Ownership::take(const TableRow &Row) {
+void Ownership::takeOver(const TableRow &Row) {
   const bool Inherited = Row.Version != 0;
   const std::int64_t Epoch = Owner_.Epoch + 1;
-  const TimePoint SentAt = Time_.now();
+  const TimePoint SentAt = MonotonicClock_.now();
   Transaction Change;
   Change.WriteId = randomId();
   Change.Checks = {{Row.Key, Row.Version}};
@@ -94,20 +97,21 @@
   Rows_.commit(std::move(Change),
                [this, Epoch, Inherited, SentAt](Result<CommitOutcome> Outcome) {
                  if (Outcome && Outcome->committed() && !Released_) {
-                   RowVersion_ = Outcome->Revision;
-                   EpochRow_ = Outcome->Revision;
-                   LeaseEnds_ = SentAt + Config_.Times.OwnerLease;
-                   // An owner chosen without the table begins a new term.
-                   if (Mine_ && OnLost)
+                   OwnerRowVersion_ = Outcome->Revision;
+                   EpochRowVersion_ = Outcome->Revision;
+                   LeaseEndsAt_ = SentAt + Config_.Times.OwnerLease;
+                   // An owner that took over without the table begins a new
+                   // term under an epoch that is in the table.
+                   if (IsOwner_ && OnLost)
                      OnLost();
-                   become(Epoch, Inherited);
+                   becomeOwner(Epoch, Inherited);
                  }
-                 pollSoon();
+                 schedulePoll();
                });
 }
 
-void Ownership::become(std::int64_t Epoch, bool Inherited) {
-  Mine_ = true;
+void Ownership::becomeOwner(std::int64_t Epoch, bool Inherited) {
+  IsOwner_ = true;
   Owner_ =
       OwnerInfo{Self_.Name, Self_.Incarnation, Self_.Http, Self_.Peer, Epoch};
   Events_.record(EventId::OwnershipTaken, Self_.Domain,
@@ -116,58 +120,58 @@
     OnTaken(Inherited);
 }
 
-void Ownership::renew() {
-  const TimePoint SentAt = Time_.now();
+void Ownership::renewLease() {
+  const TimePoint SentAt = MonotonicClock_.now();
   Transaction Change;
   Change.WriteId = randomId();
-  Change.Checks = {{ownerKey(), RowVersion_}};
+  Change.Checks = {{ownerKey(), OwnerRowVersion_}};
   Change.Writes = {{ownerKey(), rowValue(Owner_.Epoch)}};
   Rows_.commit(std::move(Change),
                [this, SentAt](Result<CommitOutcome> Outcome) {
                  if (Outcome && Outcome->committed()) {
-                   RowVersion_ = Outcome->Revision;
-                   LeaseEnds_ = SentAt + Config_.Times.OwnerLease;
-                 } else if (Outcome && Mine_) {
-                   lose();
+                   OwnerRowVersion_ = Outcome->Revision;
+                   LeaseEndsAt_ = SentAt + Config_.Times.OwnerLease;
+                 } else if (Outcome && IsOwner_) {
+                   loseOwnership();
                  }
-                 pollSoon();
+                 schedulePoll();
                });
 }
 
 void Ownership::observe(const OwnerInfo &Other) {
-  const bool Same =
+  const bool IsSelf =
       Other.Holder == Self_.Name && Other.Incarnation == Self_.Incarnation;
-  if (Same || Other.Epoch < Owner_.Epoch)
+  if (IsSelf || Other.Epoch < Owner_.Epoch)
     return;
-  if (Mine_) {
+  if (IsOwner_) {
     if (Other.Epoch == Owner_.Epoch)
       return;
-    lose();
+    loseOwnership();
   }
   Owner_ = Other;
 }
 
-void Ownership::supersede(std::int64_t Epoch) {
-  // The number is not raised beyond what was seen: a higher one would make
-  // this daemon deaf to the real owner.
-  if (Mine_ && Epoch >= Owner_.Epoch)
-    lose();
+void Ownership::stepDown(std::int64_t Epoch) {
+  // The epoch is not raised above the one that was seen: observe() would ignore
+  // the actual owner if its epoch were lower.
+  if (IsOwner_ && Epoch >= Owner_.Epoch)
+    loseOwnership();
   Owner_.Epoch = std::max(Owner_.Epoch, Epoch);
 }
 
-void Ownership::takeWithoutTable() {
-  if (Mine_ || Released_ || Time_.now() < NotBefore_)
+void Ownership::takeOverWithoutTable() {
+  if (IsOwner_ || Released_ || MonotonicClock_.now() < TakeoverAllowedAt_)
     return;
-  RowVersion_ = 0;
-  EpochRow_ = 0;
-  become(Owner_.Epoch + 1, true);
+  OwnerRowVersion_ = 0;
+  EpochRowVersion_ = 0;
+  becomeOwner(Owner_.Epoch + 1, true);
 }
 
-void Ownership::lose() {
-  Mine_ = false;
-  RowVersion_ = 0;
-  EpochRow_ = 0;
-  SeenVersion_ = -1;
+void Ownership::loseOwnership() {
+  IsOwner_ = false;
+  OwnerRowVersion_ = 0;
+  EpochRowVersion_ = 0;
+  LastSeenRowVersion_ = -1;
   Events_.record(EventId::OwnershipLost, Self_.Domain,
                  fmt::format("epoch {}", Owner_.Epoch));
   if (OnLost)
@@ -176,21 +180,21 @@
 
 void Ownership::release(std::function<void()> Done) {
   Released_ = true;
-  const bool Held = Mine_ && RowVersion_ != 0;
-  if (Mine_) {
-    Mine_ = false;
+  const bool HoldsRow = IsOwner_ && OwnerRowVersion_ != 0;
+  if (IsOwner_) {
+    IsOwner_ = false;
     Events_.record(EventId::OwnershipReleased, Self_.Domain);
     if (OnLost)
       OnLost();
   }
-  if (!Held)
+  if (!HoldsRow)
     return Done();
-  // The row stays, with no holder, so that the epoch goes on rising.
+  // The row stays, without a holder, so that the epoch goes on increasing.
   nlohmann::json Vacant = rowValue(Owner_.Epoch);
   Vacant["holder"] = "";
   Transaction Change;
   Change.WriteId = randomId();
-  Change.Checks = {{ownerKey(), RowVersion_}};
+  Change.Checks = {{ownerKey(), OwnerRowVersion_}};
   Change.Writes = {{ownerKey(), Vacant}};
   Rows_.commit(std::move(Change),
                [Done = std::move(Done)](Result<CommitOutcome>) { Done(); });
