--- a/benchmark/PoolBenchmark.cpp
+++ b/benchmark/PoolBenchmark.cpp
@@ -30,7 +30,7 @@
       PoolVm Vm;
       Vm.Id = fmt::format("i-{:08x}", Number);
       Vm.Total = Capacity{16000, 32768, 0};
-      Vm.Born = 1;
+      Vm.Incarnation = 1;
       Scheduler_->vmListed(Vm);
       Scheduler_->vmReported(Vm.Id, 1, {}, Time_.now());
     }
@@ -62,8 +62,8 @@
       std::swap(Running_[Index], Running_.back());
       const StartRun Run = Running_.back();
       Running_.pop_back();
-      Scheduler_->taskEnded(Run.Vm,
-                            TaskEnd{++EndNumber_, Run.Run, RunEnd::Done, ""});
+      Scheduler_->taskEnded(
+          Run.Vm, TaskEnd{++EndNumber_, Run.Run, RunOutcome::Done, ""});
       ++Ended_;
     }
   }
@@ -84,12 +84,12 @@
           Capacity{500 + static_cast<int>(Random_() % 4000), 2000, 0};
       Step.Estimate = milliseconds(700);
       if (Each > 0)
-        Step.After = {Each - 1};
+        Step.DependsOn = {Each - 1};
       Plan.Steps.push_back(Step);
     }
     QueueTerms Terms;
     Terms.Name = "q";
-    Terms.Attempts = 3;
+    Terms.MaxAttempts = 3;
     Terms.Stretch = 2;
     Terms.Advice = AdviceTerms{milliseconds(14), 0.2, milliseconds(2000)};
     Scheduler_->addJob(Plan, Terms, Time_.now());
@@ -100,14 +100,14 @@
       Scheduler_->startAnswered(Start->Vm, Start->Run, StartOutcome::Accepted);
       Running_.push_back(*Start);
       ++Starts_;
-    } else if (const auto *Ask = std::get_if<AskAdvice>(&Command)) {
+    } else if (const auto *Ask = std::get_if<RequestAdvice>(&Command)) {
       ++Asks_;
       std::vector<AdviceTicket> Good;
       for (const std::string &Vm : Ask->Vms)
         if (Random_() % 10 < 7)
           Good.push_back(AdviceTicket{Vm, "ticket"});
-      Scheduler_->adviceCame(Ask->Step, Ask->Vms, Good,
-                             Time_.now() + milliseconds(2000));
+      Scheduler_->adviceReceived(Ask->Step, Ask->Vms, Good,
+                                 Time_.now() + milliseconds(2000));
     }
   }
 
--- a/packages/fleet/include/cuminroad/fleet/AdviceDesk.h
+++ b/packages/fleet/include/cuminroad/fleet/AdviceDesk.h
@@ -42,7 +42,7 @@
   void setPeers(const DaemonRows &Others);
   /// Tells which queues need advice, and how long it takes.
   void setQueues(std::span<const QueueRoute> Routes);
-  void ask(const AskAdvice &Question);
+  void ask(const RequestAdvice &Question);
   std::size_t waiting() const { return Queue_.size(); }
 
 private:
@@ -55,7 +55,7 @@
   };
   /// A question; more than one daemon may be asking it.
   struct Question {
-    AskAdvice Ask;
+    RequestAdvice Ask;
     int Tries = 0;
     int Open = 0;
     bool Answered = false;
--- a/packages/fleet/include/cuminroad/fleet/PeerCalls.h
+++ b/packages/fleet/include/cuminroad/fleet/PeerCalls.h
@@ -9,7 +9,7 @@
 
 #include "cuminroad/fleet/PlacementAdvisor.h"
 #include "cuminroad/net/HttpClient.h"
-#include "cuminroad/pool/JobState.h"
+#include "cuminroad/pool/JobStage.h"
 
 namespace cuminroad {
 
--- a/packages/fleet/include/cuminroad/fleet/PeerService.h
+++ b/packages/fleet/include/cuminroad/fleet/PeerService.h
@@ -8,7 +8,7 @@
 #include "cuminroad/base/Clock.h"
 #include "cuminroad/fleet/PlacementAdvisor.h"
 #include "cuminroad/net/HttpServer.h"
-#include "cuminroad/pool/JobState.h"
+#include "cuminroad/pool/JobStage.h"
 #include "cuminroad/store/RowStore.h"
 
 namespace cuminroad {
--- a/packages/fleet/include/cuminroad/fleet/PoolOwner.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolOwner.h
@@ -81,8 +81,8 @@
   void pass();
   void execute(const StartRun &Do);
   void execute(const StopRun &Do);
-  void execute(const PaceRun &Do);
-  void execute(const AskAdvice &Do);
+  void execute(const ThrottleRun &Do);
+  void execute(const RequestAdvice &Do);
   void recordChanges();
   void tellNotes();
   void tellLoad();
--- a/packages/fleet/src/AdviceDesk.cpp
+++ b/packages/fleet/src/AdviceDesk.cpp
@@ -58,12 +58,12 @@
   QuickWork_ =
       std::any_of(Routes.begin(), Routes.end(), [](const QueueRoute &Route) {
         return Route.Terms.Advice &&
-               static_cast<double>(Route.Terms.Advice->Decision.count()) <=
+               static_cast<double>(Route.Terms.Advice->DecisionTime.count()) <=
                    QuickMs;
       });
 }
 
-void AdviceDesk::ask(const AskAdvice &Ask) {
+void AdviceDesk::ask(const RequestAdvice &Ask) {
   auto Next = std::make_shared<Question>();
   Next->Ask = Ask;
   Queue_.push_back(std::move(Next));
@@ -129,7 +129,7 @@
       continue;
     }
     const std::vector<std::string> Free =
-        freeCallers(Next->Ask.ExpectedMs <= QuickMs);
+        freeCallers(Next->Ask.ExpectedLatencyMs <= QuickMs);
     // A daemon that failed gets a question that another one is asked as well.
     const std::string Suspect = suspectToProbe();
     if (!Suspect.empty())
@@ -158,8 +158,8 @@
   // A probe of a daemon that failed is no try of its own.
   Next->Tries += To.Pause.count() == 0;
   ++Next->Open;
-  const AskAdvice &Ask = Next->Ask;
-  const milliseconds Expected(static_cast<std::int64_t>(Ask.ExpectedMs));
+  const RequestAdvice &Ask = Next->Ask;
+  const milliseconds Expected(static_cast<std::int64_t>(Ask.ExpectedLatencyMs));
   auto Done = [Self = shared_from_this(), Name,
                Next](Result<std::vector<AdviceTicket>> Good) {
     if (!Self->Closed_)
@@ -201,7 +201,7 @@
 
 void AdviceDesk::settle(const QuestionPtr &Sent,
                         Result<std::vector<AdviceTicket>> Good) {
-  const AskAdvice &Ask = Sent->Ask;
+  const RequestAdvice &Ask = Sent->Ask;
   if (!Good && Sent->Tries < MaxTries) {
     enqueue(Sent);
     return;
--- a/packages/fleet/src/FleetMetrics.cpp
+++ b/packages/fleet/src/FleetMetrics.cpp
@@ -84,19 +84,20 @@
 }
 
 void FleetMetrics::poolLoad(const std::string &Service, const PoolLoad &Load) {
-  const std::pair<const char *, int> Tasks[] = {{"waiting", Load.WaitingTasks},
-                                                {"placed", Load.Placed},
-                                                {"running", Load.Running},
-                                                {"stopping", Load.Stopping},
-                                                {"strange", Load.Strangers}};
+  const std::pair<const char *, int> Tasks[] = {
+      {"waiting", Load.WaitingTasks},
+      {"placed", Load.PlacedTasks},
+      {"running", Load.RunningTasks},
+      {"stopping", Load.StoppingTasks},
+      {"strange", Load.UnknownRuns}};
   for (const auto &[State, Count] : Tasks)
     PoolTasks_.Add({{"pool", Service}, {"state", State}}).Set(Count);
   PoolVms_.Add({{"pool", Service}, {"state", "listed"}}).Set(Load.Vms);
-  PoolVms_.Add({{"pool", Service}, {"state", "held"}}).Set(Load.HeldVms);
+  PoolVms_.Add({{"pool", Service}, {"state", "held"}}).Set(Load.LeasedVms);
   PoolCores_.Add({{"pool", Service}, {"state", "used"}})
-      .Set(static_cast<double>(Load.UsedCpu) / ThousandthsOfUnit);
+      .Set(static_cast<double>(Load.UsedMilliCores) / ThousandthsOfUnit);
   PoolCores_.Add({{"pool", Service}, {"state", "total"}})
-      .Set(static_cast<double>(Load.TotalCpu) / ThousandthsOfUnit);
+      .Set(static_cast<double>(Load.TotalMilliCores) / ThousandthsOfUnit);
 }
 
 std::string FleetMetrics::render() const {
--- a/packages/fleet/src/JobDoor.cpp
+++ b/packages/fleet/src/JobDoor.cpp
@@ -36,7 +36,7 @@
                        Step.PerTask.MilliCores, Step.PerTask.MemoryMb,
                        Step.PerTask.Accelerators, Step.Gang ? " gang" : "",
                        Step.LongRunning ? " lasting" : "",
-                       Step.Fills ? " fills" : "");
+                       Step.BestEffort ? " fills" : "");
   return Out;
 }
 
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -74,7 +74,7 @@
   Advice_ = std::make_shared<AdviceDesk>(
       Context_.Advisor, Context_.Peers, Context_.Home, Context_.Time,
       Context_.Self.Name,
-      [this](const StepName &Step) { return Scheduler_->wantsAdvice(Step); },
+      [this](const StepName &Step) { return Scheduler_->needsAdvice(Step); },
       [this](const StepName &Step, const Result<AdviceDesk::Answer> &Answer) {
         adviceAnswered(Step, Answer);
       });
@@ -107,8 +107,8 @@
   const milliseconds ValidFor = Terms != nullptr && Terms->Advice
                                     ? Terms->Advice->ValidFor
                                     : milliseconds(0);
-  Scheduler_->adviceCame(Step, Answer->Asked, Answer->Good,
-                         Answer->At + ValidFor);
+  Scheduler_->adviceReceived(Step, Answer->Asked, Answer->Good,
+                             Answer->At + ValidFor);
   wake();
 }
 
@@ -327,31 +327,31 @@
     Context_.Events.record(EventId::RunStopped, runText(Do.Run), Do.Vm);
 }
 
-void PoolOwner::execute(const PaceRun &Do) {
+void PoolOwner::execute(const ThrottleRun &Do) {
   Context_.Events.record(EventId::RunPaced, runText(Do.Run),
-                         fmt::format("{} percent {}", Do.Vm, Do.Percent));
+                         fmt::format("{} percent {}", Do.Vm, Do.SpeedPercent));
   if (VmLink *Link = link(Do.Vm))
-    Link->paceRun(Do.Run, Do.Percent);
+    Link->paceRun(Do.Run, Do.SpeedPercent);
 }
 
-void PoolOwner::execute(const AskAdvice &Do) { Advice_->ask(Do); }
+void PoolOwner::execute(const RequestAdvice &Do) { Advice_->ask(Do); }
 
 void PoolOwner::tellNotes() {
-  const PoolNotes Notes = Scheduler_->takeNotes();
-  for (const RunLoss &Loss : Notes.Losses)
+  const PoolDiagnostics Notes = Scheduler_->takeDiagnostics();
+  for (const LostRun &Loss : Notes.LostRuns)
     Context_.Events.record(EventId::RunLost, runText(Loss.Run),
                            fmt::format("{} {}", Loss.Vm, Loss.Reason));
   for (const VmQuarantine &Each : Notes.Quarantines)
     Context_.Events.record(EventId::VmQuarantined, Each.Vm,
-                           fmt::format("for_ms {}", Each.Length.count()));
-  for (const BlockedStep &Each : Notes.Blocked)
+                           fmt::format("for_ms {}", Each.Duration.count()));
+  for (const BlockedStep &Each : Notes.BlockedSteps)
     Context_.Events.record(
         EventId::StepBlocked, Each.Step.Job,
         fmt::format("{}.{} waited_ms {} tasks {} vms good {} held {} usable {} "
                     "ticket {} room {}",
                     Each.Step.Occurrence, Each.Step.Step, Each.Waited.count(),
-                    Each.Waiting, Each.Good, Each.Held, Each.Usable,
-                    Each.Ticketed, Each.Roomy));
+                    Each.WaitingTasks, Each.AllowedVms, Each.AvailableVms,
+                    Each.UsableVms, Each.VmsWithTicket, Each.VmsWithRoom));
 }
 
 void PoolOwner::recordChanges() {
@@ -400,10 +400,11 @@
       fmt::format("vms {} held {} jobs {} waiting {} placed {} running {} "
                   "stopping {} strangers {} cpu {} of {} pass_ms {} "
                   "write_ms {} questions {}",
-                  Load.Vms, Load.HeldVms, Load.Jobs, Load.WaitingTasks,
-                  Load.Placed, Load.Running, Load.Stopping, Load.Strangers,
-                  Load.UsedCpu, Load.TotalCpu, PassTook_.count(),
-                  Writer_->expectedDelay().count(), Advice_->waiting()));
+                  Load.Vms, Load.LeasedVms, Load.Jobs, Load.WaitingTasks,
+                  Load.PlacedTasks, Load.RunningTasks, Load.StoppingTasks,
+                  Load.UnknownRuns, Load.UsedMilliCores, Load.TotalMilliCores,
+                  PassTook_.count(), Writer_->expectedDelay().count(),
+                  Advice_->waiting()));
 }
 
 void PoolOwner::renewRegularly() {
@@ -456,7 +457,7 @@
 }
 
 int PoolOwner::pending(std::string_view Queue) const {
-  return Scheduler_->pending(Queue);
+  return Scheduler_->pendingJobs(Queue);
 }
 
 } // namespace cuminroad
--- a/packages/fleet/src/PoolOwnerVms.cpp
+++ b/packages/fleet/src/PoolOwnerVms.cpp
@@ -73,9 +73,10 @@
     // Ends are listed again until they are acknowledged.
     if (End.Number <= Seen.Last)
       continue;
-    Context_.Metrics.runEnded(endName(End.How));
-    Context_.Events.record(EventId::RunEnded, runText(End.Run),
-                           fmt::format("{} {}", Link.vm(), endName(End.How)));
+    Context_.Metrics.runEnded(endName(End.Outcome));
+    Context_.Events.record(
+        EventId::RunEnded, runText(End.Run),
+        fmt::format("{} {}", Link.vm(), endName(End.Outcome)));
     Scheduler_->taskEnded(Link.vm(), End);
   }
   Seen.Last = std::max(Seen.Last, Last);
@@ -101,7 +102,9 @@
   Context_.Events.record(EventId::VmClaimed, Link.vm(), Term_.Service);
 }
 
-void PoolOwner::unanswered(VmLink &Link) { Scheduler_->vmSilent(Link.vm()); }
+void PoolOwner::unanswered(VmLink &Link) {
+  Scheduler_->vmUnreachable(Link.vm());
+}
 
 void PoolOwner::lapsed(VmLink &Link) {
   Context_.Events.record(EventId::VmLeaseLapsed, Link.vm(), Term_.Service);
@@ -135,7 +138,7 @@
 }
 
 bool PoolOwner::wanted(const VmLink &Link, const TaskRun &Run) const {
-  return Scheduler_->wants(Link.vm(), Run);
+  return Scheduler_->isCurrentRun(Link.vm(), Run);
 }
 
 } // namespace cuminroad
--- a/packages/fleet/src/RunText.cpp
+++ b/packages/fleet/src/RunText.cpp
@@ -10,7 +10,7 @@
                      Run.Task.Index, Run.Number);
 }
 
-std::string_view endName(RunEnd How) {
+std::string_view endName(RunOutcome How) {
   constexpr std::string_view Names[] = {"done",   "failed", "stopped",
                                         "lapsed", "broken", "alone"};
   return Names[static_cast<std::size_t>(How)];
--- a/packages/fleet/src/RunText.h
+++ b/packages/fleet/src/RunText.h
@@ -11,7 +11,7 @@
 /// \returns JOB.OCCURRENCE.STEP.TASK#RUN, as log lines name a run.
 std::string runText(const TaskRun &Run);
 /// \returns the word of log lines and metrics for how a run ended.
-std::string_view endName(RunEnd How);
+std::string_view endName(RunOutcome How);
 
 } // namespace cuminroad
 
--- a/packages/fleet/src/VmLink.cpp
+++ b/packages/fleet/src/VmLink.cpp
@@ -230,7 +230,7 @@
 }
 
 void VmLink::startRun(const StartRun &Command, const std::string &Spec) {
-  if (Time_.now() + TicketMargin > Command.TicketUntil)
+  if (Time_.now() + TicketMargin > Command.TicketExpiry)
     return Events_.startAnswered(*this, Command.Run,
                                  StartOutcome::TicketExpired, "not_sent");
   sendStart(StartOrder{Command.Run, Spec, milliseconds(0), Command.Checkpoint,
--- a/packages/fleet/tests/AdviceDeskTest.cpp
+++ b/packages/fleet/tests/AdviceDeskTest.cpp
@@ -48,8 +48,8 @@
   }
   ~Fixture() { Desk->close(); }
 
-  static AskAdvice question(const StepName &Step) {
-    return AskAdvice{Step, {"vm1", "vm2"}, 20, 0, false};
+  static RequestAdvice question(const StepName &Step) {
+    return RequestAdvice{Step, {"vm1", "vm2"}, 20, 0, false};
   }
 
   FakeLoop Home;
--- a/packages/fleet/tests/PoolTrial.cpp
+++ b/packages/fleet/tests/PoolTrial.cpp
@@ -25,7 +25,7 @@
   VmEntry Out;
   Out.Vm.Id = Key;
   Out.Vm.Total = TrialTask * Tasks;
-  Out.Vm.Born = 1;
+  Out.Vm.Incarnation = 1;
   Out.Service = TrialService;
   Out.Address = std::string(Key) + ":1";
   return Out;
--- a/packages/fleet/tests/TakeoverTest.cpp
+++ b/packages/fleet/tests/TakeoverTest.cpp
@@ -21,7 +21,7 @@
   QueueTerms Out;
   Out.Name = "q";
   Out.Service = TrialService;
-  Out.Attempts = 3;
+  Out.MaxAttempts = 3;
   if (Advised)
     Out.Advice = AdviceTerms{milliseconds(20), 0.1, milliseconds(2000)};
   return Out;
@@ -39,7 +39,7 @@
   Step.PerTask = TrialTask;
   Step.Estimate = milliseconds(300);
   Out.Plan.Steps.push_back(Step);
-  Step.After = {0};
+  Step.DependsOn = {0};
   Out.Plan.Steps.push_back(Step);
   return Out;
 }
@@ -67,7 +67,8 @@
     Vms_.Plan = [this](const TaskRun &) {
       const unsigned Longest = Faults_.Splits ? 6000 : 900;
       return std::pair{milliseconds(100 + Random_() % Longest),
-                       Random_() % 12 == 0 ? RunEnd::Failed : RunEnd::Done};
+                       Random_() % 12 == 0 ? RunOutcome::Failed
+                                           : RunOutcome::Done};
     };
     for (const char *Name : {"a", "b"}) {
       auto Daemon = std::make_unique<TrialDaemon>(Name, Home_, Rows_, Vms_,
@@ -190,7 +191,7 @@
   bool firstStepDone(const std::string &Job, TimePoint Before) const {
     std::set<TaskName> Done;
     for (const RunEvent &Event : Vms_.History)
-      if (!Event.Start && Event.How == RunEnd::Done && Event.At <= Before &&
+      if (!Event.Start && Event.How == RunOutcome::Done && Event.At <= Before &&
           Event.Run.Task.Step.Job == Job && Event.Run.Task.Step.Step == 0)
         Done.insert(Event.Run.Task);
     return static_cast<int>(Done.size()) == Jobs_.at(Job).Steps[0].Tasks;
@@ -206,7 +207,7 @@
                                          << Plan.Steps[0].Tasks);
     int Failures = 0;
     for (const RunEvent &Event : Vms_.History)
-      Failures += !Event.Start && Event.How == RunEnd::Failed &&
+      Failures += !Event.Start && Event.How == RunOutcome::Failed &&
                   Event.Run.Task.Step.Job == Job;
     if (Progress->Stage == JobStage::Failed)
       BOOST_CHECK_GE(Failures, 3);
--- a/packages/fleet/tests/VmLinkTest.cpp
+++ b/packages/fleet/tests/VmLinkTest.cpp
@@ -94,7 +94,7 @@
   Home.runFor(milliseconds(500));
   Link->startRun(startOf(), "spec");
   Vms.Plan = [](const TaskRun &) {
-    return std::pair{milliseconds(60000), RunEnd::Done};
+    return std::pair{milliseconds(60000), RunOutcome::Done};
   };
   Home.runFor(milliseconds(500));
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
@@ -107,7 +107,7 @@
   // The VM ended the run by itself, before the link counted it as ended.
   const RunEvent &End = Vms.History.back();
   BOOST_REQUIRE(!End.Start);
-  BOOST_CHECK(End.How == RunEnd::Lapsed);
+  BOOST_CHECK(End.How == RunOutcome::LeaseLapsed);
   BOOST_CHECK(End.At <= *LapsedAt);
 }
 
--- a/packages/pool/include/cuminroad/pool/JobPlan.h
+++ b/packages/pool/include/cuminroad/pool/JobPlan.h
@@ -24,7 +24,7 @@
   milliseconds FirstDue{0};
   milliseconds Interval{0};
 
-  bool lasts() const;
+  bool isLongRunning() const;
 };
 
 /// Checks what no parser of a single field can: steps refer to earlier steps
--- a/packages/pool/include/cuminroad/pool/JobProgress.h
+++ b/packages/pool/include/cuminroad/pool/JobProgress.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "cuminroad/base/Error.h"
-#include "cuminroad/pool/JobState.h"
+#include "cuminroad/pool/JobStage.h"
 
 namespace cuminroad {
 
@@ -21,7 +21,7 @@
   /// The VM that has the run, and when that VM began its present life; "" where
   /// the task is on none.
   std::string Vm;
-  std::int64_t VmBorn = 0;
+  std::int64_t VmIncarnation = 0;
   std::string Checkpoint;
 };
 
--- a/packages/pool/include/cuminroad/pool/JobState.h
+++ b/packages/pool/include/cuminroad/pool/JobStage.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_POOL_JOBSTATE_H
-#define CUMINROAD_POOL_JOBSTATE_H
+#ifndef CUMINROAD_POOL_JOBSTAGE_H
+#define CUMINROAD_POOL_JOBSTAGE_H
 
 #include <string_view>
 
--- a/packages/pool/include/cuminroad/pool/PoolCommand.h
+++ b/packages/pool/include/cuminroad/pool/PoolCommand.h
@@ -17,7 +17,7 @@
   std::string Checkpoint;
   std::string Ticket;
   /// Not sent later than this, since the ticket would have expired.
-  TimePoint TicketUntil = TimePoint::max();
+  TimePoint TicketExpiry = TimePoint::max();
 };
 
 /// Stop a run; the VM saves a checkpoint where the task has them.
@@ -27,25 +27,25 @@
 };
 
 /// Let a task work at a share of its speed.
-struct PaceRun {
+struct ThrottleRun {
   std::string Vm;
   TaskRun Run;
-  int Percent = 100;
+  int SpeedPercent = 100;
 };
 
 /// Ask which of some VMs may run a step.
-struct AskAdvice {
+struct RequestAdvice {
   StepName Step;
   std::vector<std::string> Vms;
   /// How long the advisor is expected to take.
-  double ExpectedMs = 0;
+  double ExpectedLatencyMs = 0;
   /// Of the step's queue; 0 goes first.
   int Priority = 0;
   /// The VMs are known to be good, and new tickets are wanted.
   bool Renewal = false;
 };
 
-using PoolCommand = std::variant<StartRun, StopRun, PaceRun, AskAdvice>;
+using PoolCommand = std::variant<StartRun, StopRun, ThrottleRun, RequestAdvice>;
 
 /// A ticket for one VM.
 struct AdviceTicket {
--- a/packages/pool/include/cuminroad/pool/PoolNotes.h
+++ b/packages/pool/include/cuminroad/pool/PoolDiagnostics.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_POOL_POOLNOTES_H
-#define CUMINROAD_POOL_POOLNOTES_H
+#ifndef CUMINROAD_POOL_POOLDIAGNOSTICS_H
+#define CUMINROAD_POOL_POOLDIAGNOSTICS_H
 
 #include <string>
 #include <string_view>
@@ -11,7 +11,7 @@
 namespace cuminroad {
 
 /// Why a run that was placed did not go on.
-struct RunLoss {
+struct LostRun {
   TaskRun Run;
   std::string Vm;
   std::string_view Reason;
@@ -21,29 +21,29 @@
 struct BlockedStep {
   StepName Step;
   milliseconds Waited{0};
-  int Waiting = 0;
+  int WaitingTasks = 0;
   /// VMs that the advisor allows, or all where none is asked.
-  int Good = 0;
+  int AllowedVms = 0;
   /// Of these, those whose lease is held and that do not leave.
-  int Held = 0;
+  int AvailableVms = 0;
   /// Of the held ones, those that suit the step and are not in quarantine.
-  int Usable = 0;
+  int UsableVms = 0;
   /// Of the allowed ones, those with a ticket that holds.
-  int Ticketed = 0;
+  int VmsWithTicket = 0;
   /// Of the allowed ones, those with room for a task.
-  int Roomy = 0;
+  int VmsWithRoom = 0;
 };
 
 /// A VM that gets nothing for a while, since what it starts fails.
 struct VmQuarantine {
   std::string Vm;
-  milliseconds Length{0};
+  milliseconds Duration{0};
 };
 
 /// What a pool scheduler has to say for logs; it decides nothing.
-struct PoolNotes {
-  std::vector<RunLoss> Losses;
-  std::vector<BlockedStep> Blocked;
+struct PoolDiagnostics {
+  std::vector<LostRun> LostRuns;
+  std::vector<BlockedStep> BlockedSteps;
   std::vector<VmQuarantine> Quarantines;
 };
 
--- a/packages/pool/include/cuminroad/pool/PoolOptions.h
+++ b/packages/pool/include/cuminroad/pool/PoolOptions.h
@@ -12,29 +12,29 @@
   double RemoteFactor = 1.0;
   /// Blocked steps that get VMs reserved at a time. Each holds room back from
   /// steps behind it, so that a few of them suffice.
-  int ReservedSteps = 6;
+  int MaxReservedSteps = 6;
   /// A ticket is used only if it holds this much longer than a start takes.
   milliseconds TicketMargin{150};
   /// How long a start takes to reach its VM: it is recorded before it is sent.
   /// Measured while running; this is the value at the start.
   milliseconds StartDelay{100};
   /// Waiting steps whose tickets are kept fresh.
-  int FreshSteps = 16;
+  int MaxRenewedSteps = 16;
   /// Waiting steps that are looked at for that; to look at hundreds that have
   /// no room coming would take the time from those that have.
-  int RenewalLooks = 64;
+  int MaxRenewalCandidates = 64;
   /// Blocked steps after which a pass ends: those behind are less urgent, and
   /// looking at thousands of them would take the time from those before.
-  int BlockedLimit = 150;
+  int MaxBlockedSteps = 150;
   /// Steps that may be asked about at the same time.
-  int MaxQuestions = 64;
+  int MaxPendingAdvice = 64;
   /// VMs asked about first: the objective allows for a call about 30. Others
   /// are asked about when these have no room.
-  std::size_t FirstAskedVms = 40;
+  std::size_t InitialAdviceVms = 40;
   /// A step that is blocked for this long asks about more VMs.
-  milliseconds AskMoreAfter{400};
+  milliseconds ExtendAdviceAfter{400};
   /// VMs asked about again when a step's tickets are renewed.
-  int RenewedVms = 6;
+  int MaxRenewedVms = 6;
   /// Tickets are renewed when room is expected within the advisor's time and
   /// this.
   milliseconds RenewalLead{250};
@@ -50,13 +50,13 @@
   /// work that could run must start.
   milliseconds ProbeAfter{1000};
   /// Least time between two such tries of a VM: each may cost an attempt.
-  milliseconds ProbeGap{1000};
+  milliseconds MinProbeInterval{1000};
   /// A task whose progress stands still this long is stopped and run elsewhere.
   milliseconds StuckAfter{3000};
   /// Delay before a task whose start was refused is placed again.
-  milliseconds RefusalDelay{150};
+  milliseconds RefusedStartDelay{150};
   /// A job is of little value to its caller this many objectives late.
-  double LateFactor = 3.0;
+  double VeryLateFactor = 3.0;
 };
 
 } // namespace cuminroad
--- a/packages/pool/include/cuminroad/pool/PoolScheduler.h
+++ b/packages/pool/include/cuminroad/pool/PoolScheduler.h
@@ -12,7 +12,7 @@
 #include "cuminroad/pool/JobPlan.h"
 #include "cuminroad/pool/JobProgress.h"
 #include "cuminroad/pool/PoolCommand.h"
-#include "cuminroad/pool/PoolNotes.h"
+#include "cuminroad/pool/PoolDiagnostics.h"
 #include "cuminroad/pool/PoolOptions.h"
 #include "cuminroad/pool/PoolVm.h"
 #include "cuminroad/pool/QueueTerms.h"
@@ -24,17 +24,17 @@
 struct PoolLoad {
   int Vms = 0;
   /// Their leases are held.
-  int HeldVms = 0;
+  int LeasedVms = 0;
   int Jobs = 0;
   int WaitingTasks = 0;
-  int Placed = 0;
-  int Running = 0;
-  int Stopping = 0;
+  int PlacedTasks = 0;
+  int RunningTasks = 0;
+  int StoppingTasks = 0;
   /// Runs that belong to no unfinished job.
-  int Strangers = 0;
+  int UnknownRuns = 0;
   /// Thousandths of cores.
-  std::int64_t UsedCpu = 0;
-  std::int64_t TotalCpu = 0;
+  std::int64_t UsedMilliCores = 0;
+  std::int64_t TotalMilliCores = 0;
 };
 
 /// Decides which task of which job runs on which VM of one pool. Events go in,
@@ -51,11 +51,11 @@
   virtual void vmListed(const PoolVm &Vm) = 0;
   /// The VM's lease is held, and \p Running is all that runs there. Also tells
   /// of each later report.
-  virtual void vmReported(std::string_view Vm, std::int64_t Born,
+  virtual void vmReported(std::string_view Vm, std::int64_t Incarnation,
                           std::span<const RunningTask> Running,
                           TimePoint AskedAt) = 0;
   /// The VM does not answer: it gets no work, but what runs there may go on.
-  virtual void vmSilent(std::string_view Vm) = 0;
+  virtual void vmUnreachable(std::string_view Vm) = 0;
   /// Nothing of before runs on the VM any more, for certain.
   virtual void vmEmptied(std::string_view Vm) = 0;
   /// Forgets a VM; it must have been emptied.
@@ -76,14 +76,14 @@
   /// The VM took the order to stop a run.
   virtual void stopAnswered(std::string_view Vm, const TaskRun &Run) = 0;
   /// What the advisor said; \p Asked without a ticket are not to be used.
-  virtual void adviceCame(const StepName &Step,
-                          std::span<const std::string> Asked,
-                          std::span<const AdviceTicket> Good,
-                          TimePoint ValidUntil) = 0;
+  virtual void adviceReceived(const StepName &Step,
+                              std::span<const std::string> Asked,
+                              std::span<const AdviceTicket> Allowed,
+                              TimePoint ValidUntil) = 0;
   virtual void adviceFailed(const StepName &Step) = 0;
 
   /// Whether an answer to a question about this step is still of use.
-  virtual bool wantsAdvice(const StepName &Step) const = 0;
+  virtual bool needsAdvice(const StepName &Step) const = 0;
   /// How long a start takes to reach its VM at present, with what must be
   /// recorded before it.
   virtual void setStartDelay(milliseconds Delay) = 0;
@@ -95,15 +95,15 @@
   /// \returns the jobs whose progress changed since the last call.
   virtual std::vector<std::string> takeChangedJobs() = 0;
   /// \returns what is to be logged since the last call.
-  virtual PoolNotes takeNotes() = 0;
+  virtual PoolDiagnostics takeDiagnostics() = 0;
 
   virtual std::optional<JobStage> stage(std::string_view Job) const = 0;
   virtual JobProgress progress(std::string_view Job) const = 0;
   /// Whether \p Run is the present run of its task on \p Vm and not being
   /// stopped.
-  virtual bool wants(std::string_view Vm, const TaskRun &Run) const = 0;
+  virtual bool isCurrentRun(std::string_view Vm, const TaskRun &Run) const = 0;
   /// \returns the jobs of a queue for which no task has started.
-  virtual int pending(std::string_view Queue) const = 0;
+  virtual int pendingJobs(std::string_view Queue) const = 0;
   /// \returns the VMs on which tasks may run, with the lives recorded.
   virtual std::vector<std::string> occupiedVms() const = 0;
   virtual PoolLoad load() const = 0;
--- a/packages/pool/include/cuminroad/pool/PoolVm.h
+++ b/packages/pool/include/cuminroad/pool/PoolVm.h
@@ -22,7 +22,7 @@
   bool Leaving = false;
   /// When its present life began; another value means that nothing of before
   /// is left on it.
-  std::int64_t Born = 0;
+  std::int64_t Incarnation = 0;
 
   bool hasLabel(std::string_view Label) const;
 };
@@ -32,22 +32,22 @@
   TaskRun Run;
   std::string Checkpoint;
   /// Progress of the task, or 100 for one that serves and is at work.
-  int Percent = 0;
+  int ProgressPercent = 0;
   /// For a task that serves: the tail of its response times in milliseconds.
   /// For any other: the thousandths of a core that it uses.
-  double Measure = 0;
+  double Measurement = 0;
 };
 
 /// How a run ended.
-enum class RunEnd {
+enum class RunOutcome {
   Done,
   Failed,
   Stopped,
-  Lapsed,
+  LeaseLapsed,
   /// Another member of its gang ended.
-  Broken,
+  GangBroken,
   /// The other members of its gang did not come.
-  Alone,
+  GangIncomplete,
 };
 
 /// The end of a run as a VM reports it.
@@ -55,7 +55,7 @@
   /// Counts up in each life of the VM.
   std::int64_t Number = 0;
   TaskRun Run;
-  RunEnd How = RunEnd::Done;
+  RunOutcome Outcome = RunOutcome::Done;
   std::string Checkpoint;
 };
 
--- a/packages/pool/include/cuminroad/pool/QueueTerms.h
+++ b/packages/pool/include/cuminroad/pool/QueueTerms.h
@@ -10,9 +10,9 @@
 
 /// How long the placement advisor takes, and for how long a ticket holds.
 struct AdviceTerms {
-  milliseconds Decision{0};
+  milliseconds DecisionTime{0};
   /// For each VM that is asked about.
-  double EachMs = 0;
+  double PerVmMs = 0;
   milliseconds ValidFor{0};
 };
 
@@ -24,7 +24,7 @@
   /// 0 goes first.
   int Priority = 0;
   /// Failed runs of a task after which its job has failed.
-  int Attempts = 1;
+  int MaxAttempts = 1;
   /// A job is on time within Stretch times its longest chain of work, and
   /// LatencyTarget more.
   double Stretch = 1;
--- a/packages/pool/include/cuminroad/pool/StepPlan.h
+++ b/packages/pool/include/cuminroad/pool/StepPlan.h
@@ -16,7 +16,7 @@
   /// Declared run time of one task, often far off.
   milliseconds Estimate{0};
   /// Numbers of earlier steps whose tasks must all be done first.
-  std::vector<int> After;
+  std::vector<int> DependsOn;
   bool Checkpointing = false;
   /// All tasks run at the same time or none works.
   bool Gang = false;
@@ -37,16 +37,18 @@
   /// Bound of the tail of the response times of a task that serves; 0 for none.
   milliseconds LatencyTarget{0};
   /// Takes the processors that other tasks leave unused.
-  bool Fills = false;
+  bool BestEffort = false;
   /// Tasks of a long-running step that may be down at the same time because of
   /// the scheduler.
-  int MayMiss = 0;
+  int MaxUnavailable = 0;
 
-  bool serves() const { return LongRunning && LatencyTarget.count() > 0; }
+  bool isLatencySensitive() const {
+    return LongRunning && LatencyTarget.count() > 0;
+  }
   /// What a task takes of a VM's capacity.
-  Capacity reserved() const {
+  Capacity reservedCapacity() const {
     Capacity Out = PerTask;
-    if (Fills)
+    if (BestEffort)
       Out.MilliCores = 0;
     return Out;
   }
--- a/packages/pool/src/AdvicePlanner.cpp
+++ b/packages/pool/src/AdvicePlanner.cpp
@@ -59,10 +59,10 @@
 void AdvicePlanner::run() {
   // In the order of the scheduling pass, which keeps room for the first steps.
   int Open = Queue_.Asking;
-  int Fresh = Options_.FreshSteps;
-  int Looks = Options_.RenewalLooks;
+  int Fresh = Options_.MaxRenewedSteps;
+  int Looks = Options_.MaxRenewalCandidates;
   for (StepRecord *Entry : Queue_.Steps) {
-    if (Open >= Options_.MaxQuestions)
+    if (Open >= Options_.MaxPendingAdvice)
       return;
     StepRecord &Step = *Entry;
     // The pass has placed some of them.
@@ -82,9 +82,9 @@
   const std::vector<StepRecord> &Steps = Step.Occurrence->Steps;
   const milliseconds Lead =
       toMillis(expectedMs(
-          Step, std::min(Tables_.Vms.size(), Options_.FirstAskedVms))) +
+          Step, std::min(Tables_.Vms.size(), Options_.InitialAdviceVms))) +
       Options_.AdviceLead;
-  for (const int Before : Step.Plan->After) {
+  for (const int Before : Step.Plan->DependsOn) {
     const StepRecord &Earlier = Steps[static_cast<std::size_t>(Before)];
     if (Earlier.Waiting > 0)
       return false;
@@ -98,25 +98,25 @@
 double AdvicePlanner::expectedMs(const StepRecord &Step,
                                  std::size_t Vms) const {
   const AdviceTerms &Terms = *Step.Occurrence->Job->Terms.Advice;
-  return static_cast<double>(Terms.Decision.count()) +
-         Terms.EachMs * static_cast<double>(Vms);
+  return static_cast<double>(Terms.DecisionTime.count()) +
+         Terms.PerVmMs * static_cast<double>(Vms);
 }
 
 void AdvicePlanner::askAboutNewVms(StepRecord &Step) {
-  const bool Stuck =
-      Step.BlockedSince && Now_ - *Step.BlockedSince > Options_.AskMoreAfter;
+  const bool Stuck = Step.BlockedSince &&
+                     Now_ - *Step.BlockedSince > Options_.ExtendAdviceAfter;
   if (Step.VmsVersion == Tables_.VmsVersion && !Stuck)
     return;
   Step.VmsVersion = Tables_.VmsVersion;
   // Enough VMs are known, and new ones come in while the step is not stuck.
   if (!Step.AskedVms.empty() && !Stuck)
     return;
-  const Capacity Need = Step.Plan->reserved();
+  const Capacity Need = Step.Plan->reservedCapacity();
   std::vector<RankedVm> New;
   for (const auto &[Id, Vm] : Tables_.Vms) {
     const auto Asked = Step.AskedVms.find(Vm.get());
     if (!Vm->takesWork() || !suits(*Step.Plan, *Vm) ||
-        (Asked != Step.AskedVms.end() && Asked->second == Vm->Vm.Born))
+        (Asked != Step.AskedVms.end() && Asked->second == Vm->Vm.Incarnation))
       continue;
     const int Room = std::min(countFits(Vm->free(), Need), Step.Plan->Tasks);
     New.push_back(RankedVm{Vm->inQuarantine(Now_), Room, Vm.get()});
@@ -130,7 +130,7 @@
       Stuck
           ? MaxAskedVms
           : std::clamp(Step.Plan->Gang ? 4 * Step.Tasks.size() : std::size_t{0},
-                       Options_.FirstAskedVms, MaxAskedVms);
+                       Options_.InitialAdviceVms, MaxAskedVms);
   New.resize(std::min(New.size(), Most));
   std::vector<std::string> Vms;
   Vms.reserve(New.size());
@@ -143,25 +143,25 @@
   const TimePoint Then =
       Now_ +
       toMillis(
-          expectedMs(Step, static_cast<std::size_t>(Options_.RenewedVms))) +
+          expectedMs(Step, static_cast<std::size_t>(Options_.MaxRenewedVms))) +
       Options_.RenewalLead;
   // A gang waits for the VMs that are kept for it. To ask for others, while it
   // has none, only takes the advisor's time from those that have.
   if (Step.Plan->Gang)
     return Step.ReservedAt <= Then ? Step.ReservedVms
                                    : std::vector<VmRecord *>();
-  const Capacity Need = Step.Plan->reserved();
+  const Capacity Need = Step.Plan->reservedCapacity();
   std::vector<RankedVm> Best;
-  for (const auto &[Vm, Ticket] : Step.Good) {
+  for (const auto &[Vm, Ticket] : Step.AllowedVms) {
     if (!Vm->takesWork() || !suits(*Step.Plan, *Vm) ||
-        Ticket.Born != Vm->Vm.Born)
+        Ticket.Incarnation != Vm->Vm.Incarnation)
       continue;
     const int Room = countFits(freeAt(*Vm, Then, Now_), Need);
     if (Room > 0)
       Best.push_back(RankedVm{Vm->inQuarantine(Now_), Room, Vm});
   }
   keepTightest(Best, Step.Waiting,
-               static_cast<std::size_t>(Options_.RenewedVms));
+               static_cast<std::size_t>(Options_.MaxRenewedVms));
   std::vector<VmRecord *> Out;
   Out.reserve(Best.size());
   for (const RankedVm &Each : Best)
@@ -176,7 +176,7 @@
   const TimePoint Needed = Now_ + Options_.TicketMargin + Options_.StartDelay +
                            toMillis(expectedMs(Step, Next.size()));
   const bool Stale = std::any_of(Next.begin(), Next.end(), [&](VmRecord *Vm) {
-    return Step.Good[Vm].ValidUntil < Needed;
+    return Step.AllowedVms[Vm].ValidUntil < Needed;
   });
   if (!Stale)
     return true;
@@ -192,9 +192,9 @@
                         bool Renewal) {
   Step.Asking = true;
   const double Expected = expectedMs(Step, Vms.size());
-  Tables_.Commands.push_back(AskAdvice{nameOf(Step), std::move(Vms), Expected,
-                                       Step.Occurrence->Job->Terms.Priority,
-                                       Renewal});
+  Tables_.Commands.push_back(
+      RequestAdvice{nameOf(Step), std::move(Vms), Expected,
+                    Step.Occurrence->Job->Terms.Priority, Renewal});
 }
 
 } // namespace cuminroad
--- a/packages/pool/src/Forecast.cpp
+++ b/packages/pool/src/Forecast.cpp
@@ -40,7 +40,7 @@
   Capacity Out = Vm.free();
   for (const TaskRecord *Task : Vm.Tasks)
     if (expectedEnd(*Task, Now) <= When)
-      Out += Task->Step->Plan->reserved();
+      Out += Task->Step->Plan->reservedCapacity();
   return Out;
 }
 
--- a/packages/pool/src/JobPlan.cpp
+++ b/packages/pool/src/JobPlan.cpp
@@ -6,7 +6,7 @@
 
 namespace cuminroad {
 
-bool JobPlan::lasts() const {
+bool JobPlan::isLongRunning() const {
   return std::any_of(Steps.begin(), Steps.end(),
                      [](const StepPlan &Step) { return Step.LongRunning; });
 }
@@ -40,9 +40,9 @@
       return failure(ErrorCode::ValueOutOfRange, "size of a task");
     if (!isFigure(Step.Estimate.count()) ||
         !isFigure(Step.LatencyTarget.count()) || Step.MaxPerVm < 0 ||
-        Step.MayMiss < 0)
+        Step.MaxUnavailable < 0)
       return failure(ErrorCode::ValueOutOfRange, "step");
-    for (const int Before : Step.After)
+    for (const int Before : Step.DependsOn)
       if (Before < 0 || Before >= static_cast<int>(Index))
         return failure(ErrorCode::ValueOutOfRange, "after");
   }
@@ -63,12 +63,12 @@
   // Most fields of most steps have their default.
   if (Step.PerTask.Accelerators != 0)
     Out["a"] = Step.PerTask.Accelerators;
-  if (!Step.After.empty())
-    Out["after"] = Step.After;
+  if (!Step.DependsOn.empty())
+    Out["after"] = Step.DependsOn;
   const std::pair<const char *, bool> Flags[] = {
       {"ck", Step.Checkpointing}, {"gang", Step.Gang},
       {"rack", Step.SameRack},    {"spec", Step.Speculative},
-      {"long", Step.LongRunning}, {"fills", Step.Fills}};
+      {"long", Step.LongRunning}, {"fills", Step.BestEffort}};
   for (const auto &[Name, Set] : Flags)
     if (Set)
       Out[Name] = true;
@@ -82,7 +82,7 @@
   const std::pair<const char *, std::int64_t> Numbers[] = {
       {"per_vm", Step.MaxPerVm},
       {"target", Step.LatencyTarget.count()},
-      {"miss", Step.MayMiss}};
+      {"miss", Step.MaxUnavailable}};
   for (const auto &[Name, Value] : Numbers)
     if (Value != 0)
       Out[Name] = Value;
@@ -96,19 +96,19 @@
   Out.PerTask.MemoryMb = Input.at("m").get<std::int64_t>();
   Out.PerTask.Accelerators = Input.value("a", std::int64_t{0});
   Out.Estimate = milliseconds(Input.at("e").get<std::int64_t>());
-  Out.After = Input.value("after", std::vector<int>());
+  Out.DependsOn = Input.value("after", std::vector<int>());
   Out.Checkpointing = Input.value("ck", false);
   Out.Gang = Input.value("gang", false);
   Out.SameRack = Input.value("rack", false);
   Out.Speculative = Input.value("spec", false);
   Out.LongRunning = Input.value("long", false);
-  Out.Fills = Input.value("fills", false);
+  Out.BestEffort = Input.value("fills", false);
   Out.RequiredLabel = Input.value("label", std::string());
   Out.DataRack = Input.value("data", std::string());
   Out.Image = Input.value("image", std::string());
   Out.MaxPerVm = Input.value("per_vm", 0);
   Out.LatencyTarget = milliseconds(Input.value("target", std::int64_t{0}));
-  Out.MayMiss = Input.value("miss", 0);
+  Out.MaxUnavailable = Input.value("miss", 0);
   return Out;
 }
 
--- a/packages/pool/src/JobProgress.cpp
+++ b/packages/pool/src/JobProgress.cpp
@@ -14,8 +14,8 @@
 nlohmann::json taskToJson(const TaskProgress &Task) {
   if (Task.Done)
     return Task.Index;
-  return {Task.Index, Task.Failures, Task.Run,
-          Task.Vm,    Task.VmBorn,   Task.Checkpoint};
+  return {Task.Index, Task.Failures,      Task.Run,
+          Task.Vm,    Task.VmIncarnation, Task.Checkpoint};
 }
 
 TaskProgress taskFromJson(const nlohmann::json &Input) {
@@ -29,7 +29,7 @@
   Out.Failures = Input.at(1).get<int>();
   Out.Run = Input.at(2).get<std::int64_t>();
   Out.Vm = Input.at(3).get<std::string>();
-  Out.VmBorn = Input.at(4).get<std::int64_t>();
+  Out.VmIncarnation = Input.at(4).get<std::int64_t>();
   Out.Checkpoint = Input.at(5).get<std::string>();
   return Out;
 }
--- a/packages/pool/src/PoolSchedulerImpl.h
+++ b/packages/pool/src/PoolSchedulerImpl.h
@@ -14,10 +14,10 @@
       : Time_(Time), Wall_(Wall), Options_(Options) {}
 
   void vmListed(const PoolVm &Vm) override;
-  void vmReported(std::string_view Vm, std::int64_t Born,
+  void vmReported(std::string_view Vm, std::int64_t Incarnation,
                   std::span<const RunningTask> Running,
                   TimePoint AskedAt) override;
-  void vmSilent(std::string_view Vm) override;
+  void vmUnreachable(std::string_view Vm) override;
   void vmEmptied(std::string_view Vm) override;
   void vmRemoved(std::string_view Vm) override;
 
@@ -32,22 +32,22 @@
   void startAnswered(std::string_view Vm, const TaskRun &Run,
                      StartOutcome Outcome) override;
   void stopAnswered(std::string_view Vm, const TaskRun &Run) override;
-  void adviceCame(const StepName &Step, std::span<const std::string> Asked,
-                  std::span<const AdviceTicket> Good,
-                  TimePoint ValidUntil) override;
+  void adviceReceived(const StepName &Step, std::span<const std::string> Asked,
+                      std::span<const AdviceTicket> Allowed,
+                      TimePoint ValidUntil) override;
   void adviceFailed(const StepName &Step) override;
-  bool wantsAdvice(const StepName &Step) const override;
+  bool needsAdvice(const StepName &Step) const override;
   void setStartDelay(milliseconds Delay) override;
 
   void schedule() override;
   std::vector<PoolCommand> takeCommands() override;
   std::vector<std::string> takeChangedJobs() override;
-  PoolNotes takeNotes() override;
+  PoolDiagnostics takeDiagnostics() override;
 
   std::optional<JobStage> stage(std::string_view Job) const override;
   JobProgress progress(std::string_view Job) const override;
-  bool wants(std::string_view Vm, const TaskRun &Run) const override;
-  int pending(std::string_view Queue) const override;
+  bool isCurrentRun(std::string_view Vm, const TaskRun &Run) const override;
+  int pendingJobs(std::string_view Queue) const override;
   std::vector<std::string> occupiedVms() const override;
   PoolLoad load() const override;
   const JobPlan *plan(std::string_view Job) const override;
--- a/packages/pool/src/PoolSchedulerJobs.cpp
+++ b/packages/pool/src/PoolSchedulerJobs.cpp
@@ -85,10 +85,10 @@
   if (Progress.Vm.empty())
     return;
   VmRecord &Vm = Tables_.makeVm(Progress.Vm);
-  if (Vm.Vm.Born == 0)
-    Vm.Vm.Born = Progress.VmBorn;
+  if (Vm.Vm.Incarnation == 0)
+    Vm.Vm.Incarnation = Progress.VmIncarnation;
   // A later life of the VM has nothing of this run.
-  if (Vm.Vm.Born != Progress.VmBorn)
+  if (Vm.Vm.Incarnation != Progress.VmIncarnation)
     return;
   Task.PlacedAt = Time_.now();
   Task.MovedAt = Task.PlacedAt;
@@ -180,7 +180,7 @@
   return Out;
 }
 
-int PoolSchedulerImpl::pending(std::string_view Queue) const {
+int PoolSchedulerImpl::pendingJobs(std::string_view Queue) const {
   return static_cast<int>(std::count_if(
       Tables_.Jobs.begin(), Tables_.Jobs.end(), [Queue](const auto &Entry) {
         const JobRecord &Job = *Entry.second;
--- a/packages/pool/src/PoolSchedulerRuns.cpp
+++ b/packages/pool/src/PoolSchedulerRuns.cpp
@@ -33,7 +33,8 @@
   return Task;
 }
 
-bool PoolSchedulerImpl::wants(std::string_view Vm, const TaskRun &Run) const {
+bool PoolSchedulerImpl::isCurrentRun(std::string_view Vm,
+                                     const TaskRun &Run) const {
   const TaskRecord *Task = current(Tables_.vm(Vm), Run);
   return Task != nullptr && Task->Phase != TaskPhase::Stopping;
 }
@@ -50,14 +51,14 @@
   VmRecord *Vm = Tables_.vm(Id);
   if (Vm == nullptr)
     return;
-  const auto Stranger = Vm->Strangers.find(End.Run);
-  if (Stranger != Vm->Strangers.end()) {
+  const auto Stranger = Vm->UnknownRuns.find(End.Run);
+  if (Stranger != Vm->UnknownRuns.end()) {
     Vm->Used -= Stranger->second;
-    Vm->Strangers.erase(Stranger);
+    Vm->UnknownRuns.erase(Stranger);
   }
   if (TaskRecord *Task = current(Vm, End.Run))
     ended(*Task, End, *Vm);
-  else if (End.How == RunEnd::Done)
+  else if (End.Outcome == RunOutcome::Done)
     earlierRunDone(End.Run);
 }
 
@@ -81,7 +82,7 @@
   VmRecord &Vm = *Task.Vm;
   const TaskRun Run{nameOf(Task), Task.Run};
   Tables_.release(Task);
-  stopStranger(Vm, Run, Task.Step->Plan->reserved());
+  stopStranger(Vm, Run, Task.Step->Plan->reservedCapacity());
 }
 
 void PoolSchedulerImpl::ended(TaskRecord &Task, const TaskEnd &End,
@@ -92,24 +93,26 @@
     Tables_.release(Task);
     return settleJob(Job);
   }
-  switch (End.How) {
-  case RunEnd::Done:
+  switch (End.Outcome) {
+  case RunOutcome::Done:
     return endedDone(Task, Vm);
-  case RunEnd::Failed:
+  case RunOutcome::Failed:
     return endedFailed(Task);
-  case RunEnd::Stopped:
-  case RunEnd::Broken:
+  case RunOutcome::Stopped:
+  case RunOutcome::GangBroken:
     return Tables_.release(Task);
-  case RunEnd::Lapsed:
-  case RunEnd::Alone:
-    return lose(Task, End.How == RunEnd::Lapsed ? "lapsed" : "gang_incomplete");
+  case RunOutcome::LeaseLapsed:
+  case RunOutcome::GangIncomplete:
+    return lose(Task, End.Outcome == RunOutcome::LeaseLapsed
+                          ? "lapsed"
+                          : "gang_incomplete");
   }
 }
 
 void PoolSchedulerImpl::noteRunTime(const TaskRecord &Task,
                                     VmRecord &Vm) const {
   const StepPlan &Plan = *Task.Step->Plan;
-  if (Plan.Fills || Plan.Gang || Plan.Estimate.count() <= 0 ||
+  if (Plan.BestEffort || Plan.Gang || Plan.Estimate.count() <= 0 ||
       !Task.Checkpoint.empty() || !Task.ConfirmedAt ||
       *Task.ConfirmedAt == TimePoint::min())
     return;
@@ -168,7 +171,7 @@
     Step.GangFailedRun = Task.Run;
     Failures = ++Step.GangFailures;
   }
-  if (Failures >= Job.Terms.Attempts) {
+  if (Failures >= Job.Terms.MaxAttempts) {
     finishJob(Job, JobStage::Failed);
     settleJob(Job);
   }
@@ -193,11 +196,11 @@
   if (Outcome == StartOutcome::Refused)
     countFailure(*Task);
   if (Outcome == StartOutcome::TicketExpired) {
-    Task->Step->Good.erase(Vm);
+    Task->Step->AllowedVms.erase(Vm);
     Task->Step->AskedVms.erase(Vm);
     Task->Step->VmsVersion = -1;
   } else {
-    Task->NotBefore = Time_.now() + Options_.RefusalDelay;
+    Task->NotBefore = Time_.now() + Options_.RefusedStartDelay;
   }
   lose(*Task, "start_refused");
 }
@@ -209,10 +212,10 @@
     Task->ConfirmedAt = Time_.now();
 }
 
-void PoolSchedulerImpl::adviceCame(const StepName &Name,
-                                   std::span<const std::string> Asked,
-                                   std::span<const AdviceTicket> Good,
-                                   TimePoint ValidUntil) {
+void PoolSchedulerImpl::adviceReceived(const StepName &Name,
+                                       std::span<const std::string> Asked,
+                                       std::span<const AdviceTicket> Allowed,
+                                       TimePoint ValidUntil) {
   StepRecord *Step = Tables_.step(Name);
   if (Step == nullptr)
     return;
@@ -222,10 +225,11 @@
     Step->VmsVersion = -1;
   for (const std::string &Id : Asked)
     if (const VmRecord *Vm = Tables_.vm(Id))
-      Step->AskedVms[Vm] = Vm->Vm.Born;
-  for (const AdviceTicket &Entry : Good)
+      Step->AskedVms[Vm] = Vm->Vm.Incarnation;
+  for (const AdviceTicket &Entry : Allowed)
     if (VmRecord *Vm = Tables_.vm(Entry.Vm))
-      Step->Good[Vm] = TicketRecord{Entry.Ticket, ValidUntil, Vm->Vm.Born};
+      Step->AllowedVms[Vm] =
+          TicketRecord{Entry.Ticket, ValidUntil, Vm->Vm.Incarnation};
 }
 
 void PoolSchedulerImpl::adviceFailed(const StepName &Name) {
@@ -236,7 +240,7 @@
   Step->VmsVersion = -1;
 }
 
-bool PoolSchedulerImpl::wantsAdvice(const StepName &Name) const {
+bool PoolSchedulerImpl::needsAdvice(const StepName &Name) const {
   const StepRecord *Step = Tables_.step(Name);
   return Step != nullptr && Step->Waiting > 0 &&
          !isFinal(Step->Occurrence->Job->Stage);
@@ -257,8 +261,9 @@
     const std::vector<TaskRecord *> Tasks(Vm->Tasks.begin(), Vm->Tasks.end());
     for (TaskRecord *Task : Tasks) {
       const StepPlan &Plan = *Task->Step->Plan;
-      const bool AtWork = Plan.LongRunning && Task->Percent >= FullPercent;
-      if (Task->Phase != TaskPhase::Running || Plan.Fills || Plan.Gang ||
+      const bool AtWork =
+          Plan.LongRunning && Task->ProgressPercent >= FullPercent;
+      if (Task->Phase != TaskPhase::Running || Plan.BestEffort || Plan.Gang ||
           AtWork || Now - Task->MovedAt < Options_.StuckAfter)
         continue;
       countFailure(*Task);
@@ -286,7 +291,7 @@
   return Out;
 }
 
-PoolNotes PoolSchedulerImpl::takeNotes() {
+PoolDiagnostics PoolSchedulerImpl::takeDiagnostics() {
   return std::exchange(Tables_.Notes, {});
 }
 
--- a/packages/pool/src/PoolSchedulerVms.cpp
+++ b/packages/pool/src/PoolSchedulerVms.cpp
@@ -21,9 +21,9 @@
 constexpr milliseconds WorthMoving{1500};
 
 void dropStrangers(VmRecord &Vm) {
-  for (const auto &[Run, Size] : Vm.Strangers)
+  for (const auto &[Run, Size] : Vm.UnknownRuns)
     Vm.Used -= Size;
-  Vm.Strangers.clear();
+  Vm.UnknownRuns.clear();
 }
 
 } // namespace
@@ -32,7 +32,7 @@
   VmRecord &Vm = Tables_.makeVm(Listed.Id);
   // What runs in a new life is known from its first report: a start may have
   // reached it.
-  if (Vm.Vm.Born != 0 && Vm.Vm.Born != Listed.Born)
+  if (Vm.Vm.Incarnation != 0 && Vm.Vm.Incarnation != Listed.Incarnation)
     Vm.Claimed = false;
   const bool WasLeaving = Vm.Vm.Leaving;
   Vm.Vm = Listed;
@@ -55,15 +55,17 @@
   }
 }
 
-void PoolSchedulerImpl::vmReported(std::string_view Id, std::int64_t Born,
+void PoolSchedulerImpl::vmReported(std::string_view Id,
+                                   std::int64_t Incarnation,
                                    std::span<const RunningTask> Running,
                                    TimePoint AskedAt) {
   VmRecord *Vm = Tables_.vm(Id);
   if (Vm == nullptr)
     return;
-  const bool Restarted = Vm->ReportedBorn != 0 && Vm->ReportedBorn != Born;
-  Vm->ReportedBorn = Born;
-  Vm->Vm.Born = Born;
+  const bool Restarted =
+      Vm->ReportedBorn != 0 && Vm->ReportedBorn != Incarnation;
+  Vm->ReportedBorn = Incarnation;
+  Vm->Vm.Incarnation = Incarnation;
   if (!Vm->Claimed)
     ++Tables_.VmsVersion;
   Vm->Claimed = true;
@@ -81,7 +83,8 @@
     // under an earlier owner. It takes room until it is gone.
     const StepRecord *Step = Tables_.step(Report.Run.Task.Step);
     stopStranger(Vm, Report.Run,
-                 Step != nullptr ? Step->Plan->reserved() : Vm.Vm.Total);
+                 Step != nullptr ? Step->Plan->reservedCapacity()
+                                 : Vm.Vm.Total);
     return;
   }
   const TimePoint Now = Time_.now();
@@ -92,17 +95,17 @@
     Tables_.setPhase(*Task, TaskPhase::Running);
   if (!Task->ConfirmedAt)
     Task->ConfirmedAt = Now;
-  if (Report.Percent != Task->Percent) {
-    Task->Percent = Report.Percent;
+  if (Report.ProgressPercent != Task->ProgressPercent) {
+    Task->ProgressPercent = Report.ProgressPercent;
     Task->MovedAt = Now;
   }
-  Task->Measure = Report.Measure;
+  Task->Measurement = Report.Measurement;
   noteCheckpoint(*Task, Report.Checkpoint);
 }
 
 void PoolSchedulerImpl::stopStranger(VmRecord &Vm, const TaskRun &Run,
                                      const Capacity &Size) {
-  if (Vm.Strangers.emplace(Run, Size).second)
+  if (Vm.UnknownRuns.emplace(Run, Size).second)
     Vm.Used += Size;
   Tables_.Commands.push_back(StopRun{Vm.Vm.Id, Run});
 }
@@ -138,12 +141,12 @@
   bool Near = false;
   bool Below = true;
   for (const TaskRecord *Task : Vm.Tasks) {
-    if (!Task->Step->Plan->serves())
+    if (!Task->Step->Plan->isLatencySensitive())
       continue;
     const double Target =
         static_cast<double>(Task->Step->Plan->LatencyTarget.count());
-    Near = Near || Task->Measure > Target * NearTarget;
-    Below = Below && Task->Measure < Target * WellBelowTarget;
+    Near = Near || Task->Measurement > Target * NearTarget;
+    Below = Below && Task->Measurement < Target * WellBelowTarget;
   }
   const TimePoint Now = Time_.now();
   if (Near) {
@@ -152,7 +155,7 @@
     Vm.PacedUntil = Now + Vm.PaceTime;
   }
   for (TaskRecord *Task : Vm.Tasks) {
-    if (!Task->Step->Plan->Fills || Task->Phase != TaskPhase::Running)
+    if (!Task->Step->Plan->BestEffort || Task->Phase != TaskPhase::Running)
       continue;
     if (Now < Vm.PacedUntil)
       setPace(*Task, HeldBack);
@@ -166,10 +169,10 @@
     return;
   Task.Pace = Percent;
   Tables_.Commands.push_back(
-      PaceRun{Task.Vm->Vm.Id, TaskRun{nameOf(Task), Task.Run}, Percent});
+      ThrottleRun{Task.Vm->Vm.Id, TaskRun{nameOf(Task), Task.Run}, Percent});
 }
 
-void PoolSchedulerImpl::vmSilent(std::string_view Id) {
+void PoolSchedulerImpl::vmUnreachable(std::string_view Id) {
   if (VmRecord *Vm = Tables_.vm(Id))
     Vm->Claimed = false;
 }
@@ -188,7 +191,7 @@
   for (const auto &[Name, Job] : Tables_.Jobs)
     for (const auto &[Number, Occurrence] : Job->Occurrences)
       for (StepRecord &Step : Occurrence->Steps) {
-        Step.Good.erase(&Vm);
+        Step.AllowedVms.erase(&Vm);
         Step.AskedVms.erase(&Vm);
       }
   Tables_.Vms.erase(Found);
@@ -203,8 +206,8 @@
 }
 
 void PoolSchedulerImpl::lose(TaskRecord &Task, std::string_view Reason) {
-  Tables_.Notes.Losses.push_back(
-      RunLoss{TaskRun{nameOf(Task), Task.Run}, Task.Vm->Vm.Id, Reason});
+  Tables_.Notes.LostRuns.push_back(
+      LostRun{TaskRun{nameOf(Task), Task.Run}, Task.Vm->Vm.Id, Reason});
   JobRecord &Job = *Task.Step->Occurrence->Job;
   StepRecord &Step = *Task.Step;
   Tables_.release(Task);
@@ -237,14 +240,14 @@
   PoolLoad Out;
   for (const auto &[Id, Vm] : Tables_.Vms) {
     ++Out.Vms;
-    Out.HeldVms += Vm->Claimed;
-    Out.Strangers += static_cast<int>(Vm->Strangers.size());
-    Out.UsedCpu += Vm->Used.MilliCores;
-    Out.TotalCpu += Vm->Vm.Total.MilliCores;
+    Out.LeasedVms += Vm->Claimed;
+    Out.UnknownRuns += static_cast<int>(Vm->UnknownRuns.size());
+    Out.UsedMilliCores += Vm->Used.MilliCores;
+    Out.TotalMilliCores += Vm->Vm.Total.MilliCores;
     for (const TaskRecord *Task : Vm->Tasks) {
-      Out.Placed += Task->Phase == TaskPhase::Placed;
-      Out.Running += Task->Phase == TaskPhase::Running;
-      Out.Stopping += Task->Phase == TaskPhase::Stopping;
+      Out.PlacedTasks += Task->Phase == TaskPhase::Placed;
+      Out.RunningTasks += Task->Phase == TaskPhase::Running;
+      Out.StoppingTasks += Task->Phase == TaskPhase::Stopping;
     }
   }
   for (const auto &[Id, Job] : Tables_.Jobs) {
@@ -262,7 +265,7 @@
 std::vector<std::string> PoolSchedulerImpl::occupiedVms() const {
   std::vector<std::string> Out;
   for (const auto &[Id, Vm] : Tables_.Vms)
-    if (!Vm->Tasks.empty() || !Vm->Strangers.empty())
+    if (!Vm->Tasks.empty() || !Vm->UnknownRuns.empty())
       Out.push_back(Id);
   return Out;
 }
--- a/packages/pool/src/PoolTables.cpp
+++ b/packages/pool/src/PoolTables.cpp
@@ -91,7 +91,7 @@
   Task.PlacedAt = Now;
   Task.MovedAt = Now;
   Task.ConfirmedAt.reset();
-  Task.Percent = -1;
+  Task.ProgressPercent = -1;
   Task.Pace = 100;
   adopt(Task, Vm, TaskPhase::Placed);
   changed(*Task.Step->Occurrence->Job);
@@ -101,14 +101,14 @@
   setPhase(Task, Phase);
   Task.Vm = &Vm;
   Vm.Tasks.insert(&Task);
-  Vm.Used += Task.Step->Plan->reserved();
+  Vm.Used += Task.Step->Plan->reservedCapacity();
   ++Task.Step->OnVms;
 }
 
 static void giveRoomBack(TaskRecord &Task) {
   if (Task.Vm == nullptr)
     return;
-  Task.Vm->Used -= Task.Step->Plan->reserved();
+  Task.Vm->Used -= Task.Step->Plan->reservedCapacity();
   Task.Vm->Tasks.erase(&Task);
   Task.Vm = nullptr;
   --Task.Step->OnVms;
@@ -139,7 +139,8 @@
 bool isReady(const StepRecord &Step) {
   const std::vector<StepRecord> &Steps = Step.Occurrence->Steps;
   return std::all_of(
-      Step.Plan->After.begin(), Step.Plan->After.end(), [&Steps](int Before) {
+      Step.Plan->DependsOn.begin(), Step.Plan->DependsOn.end(),
+      [&Steps](int Before) {
         return Steps[static_cast<std::size_t>(Before)].complete();
       });
 }
@@ -149,11 +150,12 @@
   milliseconds Longest{0};
   milliseconds Advice{0};
   if (Terms.Advice)
-    Advice = Terms.Advice->Decision + milliseconds(static_cast<std::int64_t>(
-                                          Terms.Advice->EachMs * AdvisedVms));
+    Advice = Terms.Advice->DecisionTime +
+             milliseconds(
+                 static_cast<std::int64_t>(Terms.Advice->PerVmMs * AdvisedVms));
   for (std::size_t Index = 0; Index < Plan.Steps.size(); ++Index) {
     milliseconds Start{0};
-    for (const int Before : Plan.Steps[Index].After)
+    for (const int Before : Plan.Steps[Index].DependsOn)
       Start = std::max(Start, Ends[static_cast<std::size_t>(Before)]);
     Ends[Index] = Start + Plan.Steps[Index].Estimate + Advice;
     Longest = std::max(Longest, Ends[Index]);
@@ -170,7 +172,7 @@
   Out.Checkpoint = Task.Checkpoint;
   if (Task.Vm != nullptr) {
     Out.Vm = Task.Vm->Vm.Id;
-    Out.VmBorn = Task.Vm->Vm.Born;
+    Out.VmIncarnation = Task.Vm->Vm.Incarnation;
   }
   return Out;
 }
--- a/packages/pool/src/PoolTables.h
+++ b/packages/pool/src/PoolTables.h
@@ -50,7 +50,7 @@
   std::int64_t VmsVersion = 0;
   std::set<std::string> Changed;
   std::vector<PoolCommand> Commands;
-  PoolNotes Notes;
+  PoolDiagnostics Notes;
 };
 
 /// \returns the task's name for messages.
--- a/packages/pool/src/Records.h
+++ b/packages/pool/src/Records.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cuminroad/pool/JobPlan.h"
-#include "cuminroad/pool/JobState.h"
+#include "cuminroad/pool/JobStage.h"
 #include "cuminroad/pool/PoolVm.h"
 #include "cuminroad/pool/QueueTerms.h"
 
@@ -53,8 +53,8 @@
   std::optional<TimePoint> ConfirmedAt;
   /// When Percent last changed.
   TimePoint MovedAt{};
-  int Percent = -1;
-  double Measure = 0;
+  int ProgressPercent = -1;
+  double Measurement = 0;
   int Pace = 100;
   /// Not placed again before.
   TimePoint NotBefore{};
@@ -67,7 +67,7 @@
   std::string Ticket;
   TimePoint ValidUntil{};
   /// The life of the VM that the ticket is for.
-  std::int64_t Born = 0;
+  std::int64_t Incarnation = 0;
 };
 
 struct StepRecord {
@@ -83,7 +83,7 @@
   /// Tasks that wait, so that a pass need not look for them.
   int Waiting = 0;
   /// The VMs that may run the step, once the advisor was asked.
-  std::map<VmRecord *, TicketRecord> Good;
+  std::map<VmRecord *, TicketRecord> AllowedVms;
   /// VMs that the advisor was asked about, and their lives.
   std::unordered_map<const VmRecord *, std::int64_t> AskedVms;
   /// PoolTables::VmsVersion when the step's VMs were last looked through.
@@ -138,7 +138,7 @@
   Capacity Used;
   std::set<TaskRecord *> Tasks;
   /// Runs on the VM that belong to no unfinished task; they are being stopped.
-  std::map<TaskRun, Capacity> Strangers;
+  std::map<TaskRun, Capacity> UnknownRuns;
   int FailuresInARow = 0;
   TimePoint QuarantinedAt{};
   TimePoint QuarantinedUntil{};
@@ -164,7 +164,7 @@
 
 /// Whether the VM, when empty, could hold a task of the step.
 inline bool suits(const StepPlan &Plan, const VmRecord &Vm) {
-  return Plan.reserved().fitsIn(Vm.Vm.Total) &&
+  return Plan.reservedCapacity().fitsIn(Vm.Vm.Total) &&
          (Plan.RequiredLabel.empty() || Vm.Vm.hasLabel(Plan.RequiredLabel));
 }
 
--- a/packages/pool/src/SchedulingPass.cpp
+++ b/packages/pool/src/SchedulingPass.cpp
@@ -37,12 +37,13 @@
 
 /// Whether the VM runs tasks that the step's would disturb or be disturbed by.
 bool conflicts(const StepRecord &Step, const VmRecord &Vm) {
-  if (!Step.Plan->Fills && !Step.Plan->serves())
+  if (!Step.Plan->BestEffort && !Step.Plan->isLatencySensitive())
     return false;
   return std::any_of(Vm.Tasks.begin(), Vm.Tasks.end(),
                      [&Step](const TaskRecord *Task) {
                        const StepPlan &Other = *Task->Step->Plan;
-                       return Step.Plan->Fills ? Other.serves() : Other.Fills;
+                       return Step.Plan->BestEffort ? Other.isLatencySensitive()
+                                                    : Other.BestEffort;
                      });
 }
 
@@ -64,7 +65,7 @@
       continue;
     placeStep(*Step);
     Blocked += Step->Blocked;
-    if (Blocked >= Options_.BlockedLimit)
+    if (Blocked >= Options_.MaxBlockedSteps)
       return;
   }
 }
@@ -79,7 +80,7 @@
     return;
   }
   reportBlocked(Step);
-  if (Reservations_ < Options_.ReservedSteps)
+  if (Reservations_ < Options_.MaxReservedSteps)
     reserve(Step);
 }
 
@@ -96,19 +97,19 @@
   BlockedStep Report;
   Report.Step = nameOf(Step);
   Report.Waited = Waited;
-  Report.Waiting = Step.Waiting;
+  Report.WaitingTasks = Step.Waiting;
   const bool Advised = Step.Occurrence->Job->Terms.Advice.has_value();
   for (const auto &[Id, Vm] : Tables_.Vms) {
-    if (Advised && !Step.Good.contains(Vm.get()))
+    if (Advised && !Step.AllowedVms.contains(Vm.get()))
       continue;
-    ++Report.Good;
-    Report.Held += Vm->takesWork();
-    Report.Usable +=
+    ++Report.AllowedVms;
+    Report.AvailableVms += Vm->takesWork();
+    Report.UsableVms +=
         Vm->takesWork() && suits(*Step.Plan, *Vm) && !Vm->inQuarantine(Now_);
-    Report.Roomy += Step.Plan->reserved().fitsIn(Vm->free());
+    Report.VmsWithRoom += Step.Plan->reservedCapacity().fitsIn(Vm->free());
   }
-  forEachOpen(Step, [&Report](const VmRecord &) { ++Report.Ticketed; });
-  Tables_.Notes.Blocked.push_back(std::move(Report));
+  forEachOpen(Step, [&Report](const VmRecord &) { ++Report.VmsWithTicket; });
+  Tables_.Notes.BlockedSteps.push_back(std::move(Report));
 }
 
 const Capacity &SchedulingPass::largestRoom() {
@@ -133,21 +134,21 @@
       Visit(*Vm);
     return;
   }
-  for (const auto &[Vm, Ticket] : Step.Good)
-    if (Ticket.Born == Vm->Vm.Born &&
+  for (const auto &[Vm, Ticket] : Step.AllowedVms)
+    if (Ticket.Incarnation == Vm->Vm.Incarnation &&
         Ticket.ValidUntil > Now_ + Options_.TicketMargin + Options_.StartDelay)
       Visit(*Vm);
 }
 
 bool SchedulingPass::takes(const StepRecord &Step, const VmRecord &Vm) const {
-  return Step.Plan->reserved().fitsIn(Vm.free()) &&
+  return Step.Plan->reservedCapacity().fitsIn(Vm.free()) &&
          reservationAllows(Step, Vm) &&
          (Step.Plan->MaxPerVm == 0 ||
           tasksOnVm(Step, Vm) < Step.Plan->MaxPerVm);
 }
 
 void SchedulingPass::placeTasks(StepRecord &Step) {
-  if (!Step.Plan->reserved().fitsIn(largestRoom())) {
+  if (!Step.Plan->reservedCapacity().fitsIn(largestRoom())) {
     Step.Blocked = true;
     return;
   }
@@ -185,7 +186,7 @@
       return;
     LastRun = std::max(LastRun, Task.Run);
   }
-  if (!Step.Plan->reserved().fitsIn(largestRoom())) {
+  if (!Step.Plan->reservedCapacity().fitsIn(largestRoom())) {
     Step.Blocked = true;
     return;
   }
@@ -224,7 +225,7 @@
   Chosen.clear();
   const std::size_t Wanted = Step.Tasks.size();
   for (const auto &[Score, Vm] : Usable) {
-    int Room = cuminroad::countFits(Vm->free(), Step.Plan->reserved());
+    int Room = cuminroad::countFits(Vm->free(), Step.Plan->reservedCapacity());
     if (Step.Plan->MaxPerVm > 0)
       Room = std::min(Room, Step.Plan->MaxPerVm);
     while (Room-- > 0 && Chosen.size() < Wanted)
@@ -243,13 +244,14 @@
                               const VmRecord &Vm) const {
   if (!Step.BlockedSince || Now_ < Vm.NextProbe)
     return false;
-  const int Attempts = Step.Occurrence->Job->Terms.Attempts;
-  const bool LastAttempt = !Step.Plan->LongRunning &&
-                           (Step.GangFailures + 1 >= Attempts ||
-                            std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
-                                        [Attempts](const TaskRecord &Task) {
-                                          return Task.Failures + 1 >= Attempts;
-                                        }));
+  const int MaxAttempts = Step.Occurrence->Job->Terms.MaxAttempts;
+  const bool LastAttempt =
+      !Step.Plan->LongRunning &&
+      (Step.GangFailures + 1 >= MaxAttempts ||
+       std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
+                   [MaxAttempts](const TaskRecord &Task) {
+                     return Task.Failures + 1 >= MaxAttempts;
+                   }));
   return Now_ - *Step.BlockedSince >=
          Options_.ProbeAfter * (LastAttempt ? 2 : 1);
 }
@@ -258,7 +260,7 @@
                                        const VmRecord &Vm) const {
   if (!Vm.ReservedUntil)
     return true;
-  if (Step.Plan->reserved().fitsIn(Vm.Spare))
+  if (Step.Plan->reservedCapacity().fitsIn(Vm.Spare))
     return true;
   if (Step.Plan->LongRunning)
     return false;
@@ -269,7 +271,7 @@
 
 double SchedulingPass::score(const StepRecord &Step, const VmRecord &Vm) const {
   const StepPlan &Plan = *Step.Plan;
-  const Capacity Left = Vm.free() - Plan.reserved();
+  const Capacity Left = Vm.free() - Plan.reservedCapacity();
   const auto Share = [](std::int64_t Part, std::int64_t Whole) {
     return Whole > 0 ? static_cast<double>(Part) / static_cast<double>(Whole)
                      : 0.0;
@@ -292,9 +294,9 @@
 void SchedulingPass::start(TaskRecord &Task, VmRecord &Vm, std::int64_t Run) {
   StepRecord &Step = *Task.Step;
   if (Vm.ReservedUntil)
-    Vm.Spare -= Step.Plan->reserved();
+    Vm.Spare -= Step.Plan->reservedCapacity();
   if (Vm.inQuarantine(Now_))
-    Vm.NextProbe = Now_ + Options_.ProbeGap;
+    Vm.NextProbe = Now_ + Options_.MinProbeInterval;
   Tables_.place(Task, Vm, Run, Now_);
   LargestKnown_ = false;
   JobRecord &Job = *Step.Occurrence->Job;
@@ -302,16 +304,18 @@
     Job.Stage = JobStage::Running;
   Job.Started = true;
   StartRun Command{Vm.Vm.Id, TaskRun{nameOf(Task), Run}, Task.Checkpoint, ""};
-  if (const auto Ticket = Step.Good.find(&Vm); Ticket != Step.Good.end()) {
+  if (const auto Ticket = Step.AllowedVms.find(&Vm);
+      Ticket != Step.AllowedVms.end()) {
     Command.Ticket = Ticket->second.Ticket;
-    Command.TicketUntil = Ticket->second.ValidUntil;
+    Command.TicketExpiry = Ticket->second.ValidUntil;
   }
   Tables_.Commands.push_back(std::move(Command));
 }
 
 int SchedulingPass::countFits(const StepRecord &Step, const VmRecord &Vm,
                               TimePoint When) const {
-  int Out = cuminroad::countFits(freeAt(Vm, When, Now_), Step.Plan->reserved());
+  int Out = cuminroad::countFits(freeAt(Vm, When, Now_),
+                                 Step.Plan->reservedCapacity());
   if (Step.Plan->MaxPerVm > 0)
     Out = std::min(Out, Step.Plan->MaxPerVm);
   return Out;
@@ -323,7 +327,7 @@
   std::vector<TimePoint> Times{Now_};
   for (VmRecord *Vm : Open_) {
     if (!eligible(Step, *Vm) || Vm->ReservedUntil ||
-        (Advised && !Step.Good.contains(Vm)))
+        (Advised && !Step.AllowedVms.contains(Vm)))
       continue;
     Usable.push_back(Vm);
     for (const TaskRecord *Task : Vm->Tasks)
@@ -360,7 +364,7 @@
     if (Here <= 0)
       return;
     Vm->ReservedUntil = *At;
-    Vm->Spare = freeAt(*Vm, *At, Now_) - Step.Plan->reserved() * Here;
+    Vm->Spare = freeAt(*Vm, *At, Now_) - Step.Plan->reservedCapacity() * Here;
     // What fits beside the step must also fit now.
     Vm->Spare = smaller(Vm->Spare, Vm->free());
     Step.ReservedVms.push_back(Vm);
--- a/packages/pool/src/WaitingSteps.cpp
+++ b/packages/pool/src/WaitingSteps.cpp
@@ -32,12 +32,12 @@
   Out.Priority = Job.Terms.Priority;
   Out.Deadline = Occurrence.Due + Objective;
   // A job that lasts has no end that could be late.
-  if (Job.Plan.lasts())
+  if (Job.Plan.isLongRunning())
     return Out;
   Out.Late = Now > Out.Deadline;
   Out.Hopeless =
       Now > Occurrence.Due + milliseconds(static_cast<std::int64_t>(
-                                 Options.LateFactor *
+                                 Options.VeryLateFactor *
                                  static_cast<double>(Objective.count())));
   return Out;
 }
--- a/packages/pool/tests/AdviceTest.cpp
+++ b/packages/pool/tests/AdviceTest.cpp
@@ -16,16 +16,16 @@
   BOOST_CHECK(Starts.empty());
   BOOST_REQUIRE_EQUAL(Asks.size(), 1);
   BOOST_CHECK_EQUAL(Asks[0].Vms.size(), 20);
-  const std::vector<AdviceTicket> Good{{"v3", "t"}, {"v4", "t"}};
-  Scheduler->adviceCame(Asks[0].Step, Asks[0].Vms, Good,
-                        Time.now() + milliseconds(100));
+  const std::vector<AdviceTicket> Allowed{{"v3", "t"}, {"v4", "t"}};
+  Scheduler->adviceReceived(Asks[0].Step, Asks[0].Vms, Allowed,
+                            Time.now() + milliseconds(100));
   // The ticket would expire on the way: a new one is asked for first.
   pass();
   BOOST_CHECK(Starts.empty());
   BOOST_REQUIRE_EQUAL(Asks.size(), 1);
   BOOST_CHECK_EQUAL(Asks[0].Vms.size(), 2);
-  Scheduler->adviceCame(Asks[0].Step, Asks[0].Vms, Good,
-                        Time.now() + milliseconds(2000));
+  Scheduler->adviceReceived(Asks[0].Step, Asks[0].Vms, Allowed,
+                            Time.now() + milliseconds(2000));
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Ticket, "t");
@@ -38,7 +38,7 @@
   Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), Queue, Time.now());
   pass();
   BOOST_REQUIRE_EQUAL(Asks.size(), 1);
-  Scheduler->adviceCame(Asks[0].Step, {}, {}, Time.now());
+  Scheduler->adviceReceived(Asks[0].Step, {}, {}, Time.now());
   pass();
   BOOST_CHECK_EQUAL(Asks.size(), 1);
 }
@@ -73,12 +73,12 @@
   const auto Answer = [&] {
     const auto Asked = Asks;
     Time.advance(milliseconds(120));
-    for (const AskAdvice &Ask : Asked) {
-      std::vector<AdviceTicket> Good;
+    for (const RequestAdvice &Ask : Asked) {
+      std::vector<AdviceTicket> Allowed;
       for (const std::string &Vm : Ask.Vms)
-        Good.push_back({Vm, "t"});
-      Scheduler->adviceCame(Ask.Step, Ask.Vms, Good,
-                            Time.now() + Queue.Advice->ValidFor);
+        Allowed.push_back({Vm, "t"});
+      Scheduler->adviceReceived(Ask.Step, Ask.Vms, Allowed,
+                                Time.now() + Queue.Advice->ValidFor);
     }
   };
   for (int Round = 0; Round < 10; ++Round) {
@@ -88,7 +88,7 @@
   }
   Time.advance(milliseconds(5000));
   for (const StartRun &Start : Blockers)
-    end(Start, RunEnd::Done);
+    end(Start, RunOutcome::Done);
   std::size_t Started = 0;
   for (int Round = 0; Round < 4; ++Round) {
     pass();
@@ -100,7 +100,7 @@
 
 BOOST_FIXTURE_TEST_CASE(ticketsOfTheTightestVmsAreRenewed, SchedulerTrial) {
   // Small tasks on empty VMs would keep those from gangs that need them whole.
-  Options.RenewedVms = 2;
+  Options.MaxRenewedVms = 2;
   Scheduler = makePoolScheduler(Time, Wall, Options);
   addVm(makeVm("tight1", Big));
   addVm(makeVm("tight2", Big));
@@ -117,11 +117,11 @@
   const auto AskedWith = [&](milliseconds ValidFor) {
     pass();
     BOOST_REQUIRE_EQUAL(Asks.size(), 1);
-    std::vector<AdviceTicket> Good;
+    std::vector<AdviceTicket> Allowed;
     for (const std::string &Vm : Asks[0].Vms)
-      Good.push_back({Vm, "t"});
-    Scheduler->adviceCame(Asks[0].Step, Asks[0].Vms, Good,
-                          Time.now() + ValidFor);
+      Allowed.push_back({Vm, "t"});
+    Scheduler->adviceReceived(Asks[0].Step, Asks[0].Vms, Allowed,
+                              Time.now() + ValidFor);
     return Asks[0].Vms;
   };
   BOOST_CHECK_EQUAL(AskedWith(milliseconds(10)).size(), 4);
--- a/packages/pool/tests/GangRunsTest.cpp
+++ b/packages/pool/tests/GangRunsTest.cpp
@@ -32,7 +32,7 @@
     BOOST_CHECK(Scheduler->stage("g") != JobStage::Failed);
     const auto Members = startGang();
     for (const StartRun &Start : Members)
-      end(Start, RunEnd::Failed);
+      end(Start, RunOutcome::Failed);
     Time.advance(milliseconds(500));
   }
   BOOST_CHECK(Scheduler->stage("g") == JobStage::Failed);
@@ -45,7 +45,7 @@
   report("a", {});
   report("b", {});
   startGang();
-  end(First[0], RunEnd::Done);
+  end(First[0], RunOutcome::Done);
   pass();
   BOOST_CHECK_EQUAL(Stops.size(), 2);
   BOOST_CHECK(Scheduler->stage("g") == JobStage::Completed);
@@ -55,8 +55,8 @@
                         GangTrial) {
   for (int Round = 0; Round < 2; ++Round) {
     const auto Members = startGang();
-    end(Members[0], RunEnd::Broken);
-    end(Members[1], RunEnd::Failed);
+    end(Members[0], RunOutcome::GangBroken);
+    end(Members[1], RunOutcome::Failed);
     Time.advance(milliseconds(500));
   }
   BOOST_CHECK(Scheduler->stage("g") == JobStage::Failed);
@@ -64,12 +64,12 @@
 
 BOOST_FIXTURE_TEST_CASE(laterOwnerKnowsWhichRunOfAGangHasFailed, GangTrial) {
   startGang();
-  end(Starts[0], RunEnd::Failed);
+  end(Starts[0], RunOutcome::Failed);
   const auto Known = decodeProgress(encodeProgress(Scheduler->progress("g")));
   BOOST_REQUIRE(Known);
   SchedulerTrial Next;
   Next.Scheduler->restoreJob(makeJob("g", {Gang}), makeQueue(), Next.Time.now(),
                              *Known);
-  Next.end(Starts[1], RunEnd::Failed);
+  Next.end(Starts[1], RunOutcome::Failed);
   BOOST_CHECK(Next.Scheduler->stage("g") != JobStage::Failed);
 }
--- a/packages/pool/tests/InvariantsTest.cpp
+++ b/packages/pool/tests/InvariantsTest.cpp
@@ -44,8 +44,9 @@
         }
         BOOST_CHECK_LE(Cores, Big.MilliCores);
         while (!Runs.empty() && Random() % 3 == 0) {
-          constexpr RunEnd Ends[] = {RunEnd::Done, RunEnd::Done, RunEnd::Failed,
-                                     RunEnd::Stopped};
+          constexpr RunOutcome Ends[] = {RunOutcome::Done, RunOutcome::Done,
+                                         RunOutcome::Failed,
+                                         RunOutcome::Stopped};
           Each.end(Runs.back(), Ends[Random() % 4]);
           Runs.pop_back();
         }
--- a/packages/pool/tests/PlacementTest.cpp
+++ b/packages/pool/tests/PlacementTest.cpp
@@ -13,7 +13,7 @@
   pass();
   BOOST_CHECK_EQUAL(Starts.size(), 4);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
-  end(Starts[0], RunEnd::Done);
+  end(Starts[0], RunOutcome::Done);
   pass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
 }
@@ -21,20 +21,20 @@
 BOOST_FIXTURE_TEST_CASE(laterStepWaitsForTheOneBefore, SchedulerTrial) {
   addVm(makeVm("a", Big));
   StepPlan Second = makeStep(1, Small);
-  Second.After = {0};
+  Second.DependsOn = {0};
   Scheduler->addJob(makeJob("j", {makeStep(2, Small), Second}), makeQueue(),
                     Time.now());
   pass();
   const auto First = Starts;
   BOOST_REQUIRE_EQUAL(First.size(), 2);
-  end(First[0], RunEnd::Done);
+  end(First[0], RunOutcome::Done);
   pass();
   BOOST_CHECK(Starts.empty());
-  end(First[1], RunEnd::Done);
+  end(First[1], RunOutcome::Done);
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Run.Task.Step.Step, 1);
-  end(Starts[0], RunEnd::Done);
+  end(Starts[0], RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Completed);
 }
 
@@ -97,7 +97,7 @@
                               {makeStep(1, {1000, 100, 1}, 1000)}),
                       makeQueue(2), Time.now());
     Time.advance(milliseconds(300));
-    end(Running.back(), RunEnd::Done);
+    end(Running.back(), RunOutcome::Done);
     Running.pop_back();
     pass();
     for (const StartRun &Start : Starts)
@@ -123,14 +123,14 @@
   Scheduler->startAnswered(First[0].Vm, First[0].Run, StartOutcome::Refused);
   pass();
   BOOST_REQUIRE_EQUAL(Stops.size(), 1);
-  end(First[1], RunEnd::Stopped);
+  end(First[1], RunOutcome::Stopped);
   Time.advance(milliseconds(500));
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 2);
   BOOST_CHECK_EQUAL(Starts[0].Run.Number, 2);
   BOOST_CHECK_EQUAL(Starts[1].Run.Number, 2);
   // One end as done stands for all.
-  end(Starts[0], RunEnd::Done);
+  end(Starts[0], RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("g") == JobStage::Completed);
 }
 
@@ -175,12 +175,12 @@
   Wall.Now += milliseconds(1000);
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-  end(Starts[0], RunEnd::Done);
+  end(Starts[0], RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
   Wall.Now += milliseconds(500);
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Run.Task.Step.Occurrence, 1);
-  end(Starts[0], RunEnd::Done);
+  end(Starts[0], RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Completed);
 }
--- a/packages/pool/tests/QuarantineTest.cpp
+++ b/packages/pool/tests/QuarantineTest.cpp
@@ -12,7 +12,7 @@
 
 struct QuarantineTrial : SchedulerTrial {
   QuarantineTrial() {
-    Queue.Attempts = 100;
+    Queue.MaxAttempts = 100;
     Queue.Advice = AdviceTerms{milliseconds(100), 1.0, milliseconds(2000)};
   }
   /// The VMs added so far refuse what they are sent until their quarantine is
@@ -24,10 +24,11 @@
       pass();
       for (const StartRun &Start : Starts)
         Scheduler->startAnswered(Start.Vm, Start.Run, StartOutcome::Refused);
-      Time.advance(Starts.empty() ? milliseconds(1000) : Options.RefusalDelay);
+      Time.advance(Starts.empty() ? milliseconds(1000)
+                                  : Options.RefusedStartDelay);
     }
     Scheduler->cancelJob("bad");
-    Time.advance(Options.ProbeGap);
+    Time.advance(Options.MinProbeInterval);
   }
   /// Passes until the time is over, and how many starts they made.
   int startsWithin(milliseconds Span, StartOutcome Answer) {
@@ -52,19 +53,19 @@
   // A VM that fails all that it starts would draw all work to itself.
   addVm(makeVm("a", Small));
   QueueTerms Queue = makeQueue();
-  Queue.Attempts = 100;
+  Queue.MaxAttempts = 100;
   Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), Queue, Time.now());
   for (int Round = 0; Round < 3; ++Round) {
     pass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-    end(Starts[0], RunEnd::Failed);
+    end(Starts[0], RunOutcome::Failed);
   }
   pass();
   BOOST_CHECK(Starts.empty());
-  const PoolNotes Notes = Scheduler->takeNotes();
+  const PoolDiagnostics Notes = Scheduler->takeDiagnostics();
   BOOST_REQUIRE_EQUAL(Notes.Quarantines.size(), 1);
   BOOST_CHECK_EQUAL(Notes.Quarantines[0].Vm, "a");
-  BOOST_CHECK(Notes.Quarantines[0].Length == Options.QuarantineMin);
+  BOOST_CHECK(Notes.Quarantines[0].Duration == Options.QuarantineMin);
   Time.advance(Options.QuarantineMin);
   pass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
@@ -74,7 +75,7 @@
   // A VM that hangs fails all it runs at once; that is one trouble, not many.
   addVm(makeVm("a", Big));
   QueueTerms Queue = makeQueue();
-  Queue.Attempts = 100;
+  Queue.MaxAttempts = 100;
   Scheduler->addJob(makeJob("j", {makeStep(40, {100, 10, 0})}), Queue,
                     Time.now());
   pass();
@@ -82,7 +83,7 @@
   const auto First = Starts;
   Time.advance(milliseconds(100));
   for (const StartRun &Start : First)
-    end(Start, RunEnd::Failed);
+    end(Start, RunOutcome::Failed);
   Time.advance(Options.QuarantineMin);
   pass();
   BOOST_CHECK_EQUAL(Starts.size(), 40);
@@ -98,7 +99,7 @@
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   accept(Starts[0]);
-  end(Starts[0], RunEnd::Done);
+  end(Starts[0], RunOutcome::Done);
   pass();
   BOOST_CHECK_EQUAL(Starts.size(), 3);
 }
@@ -117,12 +118,12 @@
   addVm(makeVm("a", Big));
   quarantineAll(1, Big);
   QueueTerms Plain = makeQueue();
-  Plain.Attempts = 100;
+  Plain.MaxAttempts = 100;
   Scheduler->addJob(makeJob("j", {makeStep(4, Small)}), Plain, Time.now());
   const milliseconds Span{10000};
   const int Probes = startsWithin(Span, StartOutcome::Refused);
   BOOST_CHECK_GE(Probes, 3);
-  BOOST_CHECK_LE(Probes, 1 + Span / Options.ProbeGap);
+  BOOST_CHECK_LE(Probes, 1 + Span / Options.MinProbeInterval);
 }
 
 BOOST_FIXTURE_TEST_CASE(goodVmIsUsedBeforeABadOneIsProbed, QuarantineTrial) {
@@ -142,7 +143,7 @@
   addVm(makeVm("a", Big));
   quarantineAll(1, Big);
   QueueTerms Plain = makeQueue();
-  Plain.Attempts = 1;
+  Plain.MaxAttempts = 1;
   Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), Plain, Time.now());
   BOOST_CHECK_EQUAL(
       startsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 0);
@@ -163,20 +164,20 @@
 
 BOOST_FIXTURE_TEST_CASE(ticketsOfGoodVmsAreRenewedFirst, QuarantineTrial) {
   // Nothing runs on bad VMs: they would always have the most room.
-  for (int Number = 0; Number < Options.RenewedVms; ++Number)
+  for (int Number = 0; Number < Options.MaxRenewedVms; ++Number)
     addVm(makeVm("bad" + std::to_string(Number), Big));
-  quarantineAll(Options.RenewedVms, Big);
+  quarantineAll(Options.MaxRenewedVms, Big);
   addVm(makeVm("good", Small));
   Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), Queue, Time.now());
   pass();
   BOOST_REQUIRE_EQUAL(Asks.size(), 1);
-  std::vector<AdviceTicket> Good;
+  std::vector<AdviceTicket> Allowed;
   for (const std::string &Vm : Asks[0].Vms)
-    Good.push_back({Vm, "t"});
-  BOOST_REQUIRE_EQUAL(Good.size(), Options.RenewedVms + 1);
+    Allowed.push_back({Vm, "t"});
+  BOOST_REQUIRE_EQUAL(Allowed.size(), Options.MaxRenewedVms + 1);
   // All tickets expire on the way; the good VM's must be renewed.
-  Scheduler->adviceCame(Asks[0].Step, Asks[0].Vms, Good,
-                        Time.now() + milliseconds(10));
+  Scheduler->adviceReceived(Asks[0].Step, Asks[0].Vms, Allowed,
+                            Time.now() + milliseconds(10));
   pass();
   BOOST_REQUIRE_EQUAL(Asks.size(), 1);
   BOOST_CHECK(std::find(Asks[0].Vms.begin(), Asks[0].Vms.end(), "good") !=
--- a/packages/pool/tests/RunsTest.cpp
+++ b/packages/pool/tests/RunsTest.cpp
@@ -18,8 +18,8 @@
     accept(Start);
   report("a", {RunningTask{First[0].Run, "save1", 50, 0},
                RunningTask{First[1].Run, "", 50, 0}});
-  end(First[0], RunEnd::Broken);
-  end(First[1], RunEnd::Failed);
+  end(First[0], RunOutcome::GangBroken);
+  end(First[1], RunOutcome::Failed);
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 2);
   BOOST_CHECK_EQUAL(Starts[0].Checkpoint, "save1");
@@ -31,12 +31,12 @@
   Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
                     Time.now());
   pass();
-  end(Starts.at(0), RunEnd::Failed);
+  end(Starts.at(0), RunOutcome::Failed);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Run.Number, 2);
-  end(Starts[0], RunEnd::Failed);
+  end(Starts[0], RunOutcome::Failed);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Failed);
   pass();
   BOOST_CHECK(Starts.empty());
@@ -49,7 +49,7 @@
   for (int Round = 0; Round < 5; ++Round) {
     pass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-    end(Starts[0], RunEnd::Lapsed);
+    end(Starts[0], RunOutcome::LeaseLapsed);
   }
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
 }
@@ -65,7 +65,7 @@
   Scheduler->startAnswered(First.Vm, First.Run, StartOutcome::OldRun);
   pass();
   BOOST_CHECK(Starts.empty());
-  end(First, RunEnd::Done);
+  end(First, RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Completed);
 }
 
@@ -99,7 +99,7 @@
   pass();
   BOOST_CHECK_EQUAL(Stops.size(), 1);
   BOOST_CHECK(Starts.empty());
-  end(First, RunEnd::Stopped);
+  end(First, RunOutcome::Stopped);
   pass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Cancelled);
@@ -133,7 +133,7 @@
   pass();
   const StartRun First = Starts.at(0);
   Scheduler->cancelJob("j");
-  BOOST_CHECK(!Scheduler->wants(First.Vm, First.Run));
+  BOOST_CHECK(!Scheduler->isCurrentRun(First.Vm, First.Run));
   Scheduler->startAnswered(First.Vm, First.Run, StartOutcome::NotSent);
   Scheduler->addJob(makeJob("k", {makeStep(1, Small)}), makeQueue(),
                     Time.now());
@@ -151,7 +151,7 @@
   pass();
   BOOST_CHECK_EQUAL(Stops.size(), 1);
   BOOST_CHECK(Starts.empty());
-  Scheduler->taskEnded("a", TaskEnd{1, Stranger, RunEnd::Stopped, ""});
+  Scheduler->taskEnded("a", TaskEnd{1, Stranger, RunOutcome::Stopped, ""});
   pass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
 }
@@ -165,7 +165,7 @@
   const auto Sent = Starts;
   BOOST_REQUIRE_EQUAL(Sent.size(), 3);
   accept(Sent[0]);
-  end(Sent[1], RunEnd::Done);
+  end(Sent[1], RunOutcome::Done);
   const auto Bytes = encodeProgress(Scheduler->progress("j"));
   const auto Known = decodeProgress(Bytes);
   BOOST_REQUIRE(Known);
@@ -229,7 +229,7 @@
   report("a", {RunningTask{First.Run, "", 10, 0}});
   pass();
   BOOST_REQUIRE_EQUAL(Stops.size(), 1);
-  end(First, RunEnd::Stopped);
+  end(First, RunOutcome::Stopped);
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
 }
@@ -240,12 +240,13 @@
   StepPlan Step = makeStep(1, Small);
   Step.LongRunning = true;
   Scheduler->addJob(makeJob("j", {Step}), makeQueue(), Time.now());
-  for (const RunEnd How : {RunEnd::Failed, RunEnd::Failed, RunEnd::Failed,
-                           RunEnd::Lapsed, RunEnd::Done}) {
+  for (const RunOutcome Outcome :
+       {RunOutcome::Failed, RunOutcome::Failed, RunOutcome::Failed,
+        RunOutcome::LeaseLapsed, RunOutcome::Done}) {
     Time.advance(milliseconds(60000));
     pass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-    end(Starts[0], How);
+    end(Starts[0], Outcome);
   }
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
 }
@@ -256,10 +257,10 @@
   StepPlan Serves = makeStep(1, Small);
   Serves.LongRunning = true;
   Serves.LatencyTarget = milliseconds(100);
-  StepPlan Fills = makeStep(1, Small, 60000);
-  Fills.Fills = true;
+  StepPlan BestEffort = makeStep(1, Small, 60000);
+  BestEffort.BestEffort = true;
   Scheduler->addJob(makeJob("s", {Serves}), makeQueue(), Time.now());
-  Scheduler->addJob(makeJob("f", {Fills}), makeQueue(2), Time.now());
+  Scheduler->addJob(makeJob("f", {BestEffort}), makeQueue(2), Time.now());
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 2);
   const auto Sent = Starts;
@@ -279,11 +280,11 @@
   Tail(150);
   BOOST_REQUIRE_EQUAL(Paces.size(), 1);
   BOOST_CHECK_EQUAL(Paces[0].Run.Task.Step.Job, "f");
-  BOOST_CHECK_EQUAL(Paces[0].Percent, 0);
+  BOOST_CHECK_EQUAL(Paces[0].SpeedPercent, 0);
   Time.advance(milliseconds(20000));
   Tail(50);
   BOOST_REQUIRE_EQUAL(Paces.size(), 1);
-  BOOST_CHECK_EQUAL(Paces[0].Percent, 100);
+  BOOST_CHECK_EQUAL(Paces[0].SpeedPercent, 100);
 }
 
 BOOST_FIXTURE_TEST_CASE(cancelledJobThatWaitsIsDropped, SchedulerTrial) {
@@ -312,17 +313,18 @@
     accept(Start);
   Time.advance(milliseconds(10));
   PoolVm Restarted = makeVm(Runs[0].Vm, Big);
-  Restarted.Born = 2;
+  Restarted.Incarnation = 2;
   Scheduler->vmListed(Restarted);
   Scheduler->vmReported(Runs[0].Vm, 2,
                         std::vector{RunningTask{Runs[0].Run, "", 10, 0}},
                         Time.now());
-  BOOST_CHECK(Scheduler->wants(Runs[0].Vm, Runs[0].Run));
+  BOOST_CHECK(Scheduler->isCurrentRun(Runs[0].Vm, Runs[0].Run));
   // The other one is not there.
   pass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK(Starts[0].Run.Task == Runs[1].Run.Task);
-  BOOST_CHECK_EQUAL(Scheduler->takeNotes().Losses[0].Reason, "vm_restarted");
+  BOOST_CHECK_EQUAL(Scheduler->takeDiagnostics().LostRuns[0].Reason,
+                    "vm_restarted");
 }
 
 BOOST_FIXTURE_TEST_CASE(startOnItsWayToARestartedVmIsNotPlacedElsewhere,
@@ -350,7 +352,7 @@
   // wasted and the steps behind wait for it.
   addVm(makeVm("a", Small));
   StepPlan Second = makeStep(1, Small);
-  Second.After = {0};
+  Second.DependsOn = {0};
   Scheduler->addJob(makeJob("j", {makeStep(1, Small), Second}), makeQueue(),
                     Time.now());
   pass();
@@ -361,7 +363,7 @@
   pass();
   const StartRun Again = Starts.at(0);
   accept(Again);
-  end(First, RunEnd::Done);
+  end(First, RunOutcome::Done);
   report("a", {});
   pass();
   BOOST_REQUIRE_EQUAL(Stops.size(), 1);
@@ -370,9 +372,9 @@
   BOOST_CHECK_EQUAL(Starts[0].Run.Task.Step.Step, 1);
   BOOST_CHECK_EQUAL(Starts[0].Vm, "a");
   // The room of the needless run is free once it has ended.
-  BOOST_CHECK_EQUAL(Scheduler->load().Strangers, 1);
-  end(Again, RunEnd::Stopped);
-  BOOST_CHECK_EQUAL(Scheduler->load().Strangers, 0);
-  end(Starts[0], RunEnd::Done);
+  BOOST_CHECK_EQUAL(Scheduler->load().UnknownRuns, 1);
+  end(Again, RunOutcome::Stopped);
+  BOOST_CHECK_EQUAL(Scheduler->load().UnknownRuns, 0);
+  end(Starts[0], RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Completed);
 }
--- a/packages/pool/tests/SchedulerTrial.h
+++ b/packages/pool/tests/SchedulerTrial.h
@@ -23,7 +23,7 @@
   Out.Id = Id;
   Out.Total = Total;
   Out.Labels = std::move(Labels);
-  Out.Born = 1;
+  Out.Incarnation = 1;
   return Out;
 }
 
@@ -47,7 +47,7 @@
   Out.Name = "q" + std::to_string(Priority);
   Out.Service = "s";
   Out.Priority = Priority;
-  Out.Attempts = 2;
+  Out.MaxAttempts = 2;
   Out.Stretch = 2;
   Out.LatencyTarget = milliseconds(1000);
   return Out;
@@ -59,7 +59,7 @@
 
   void addVm(const PoolVm &Vm) {
     Scheduler->vmListed(Vm);
-    Scheduler->vmReported(Vm.Id, Vm.Born, {}, Time.now());
+    Scheduler->vmReported(Vm.Id, Vm.Incarnation, {}, Time.now());
   }
   /// Runs a pass and sorts its commands.
   void pass() {
@@ -73,17 +73,19 @@
         Starts.push_back(*Start);
       else if (const auto *Stop = std::get_if<StopRun>(&Command))
         Stops.push_back(*Stop);
-      else if (const auto *Pace = std::get_if<PaceRun>(&Command))
+      else if (const auto *Pace = std::get_if<ThrottleRun>(&Command))
         Paces.push_back(*Pace);
       else
-        Asks.push_back(std::get<AskAdvice>(Command));
+        Asks.push_back(std::get<RequestAdvice>(Command));
     }
   }
   void accept(const StartRun &Start) {
     Scheduler->startAnswered(Start.Vm, Start.Run, StartOutcome::Accepted);
   }
-  void end(const StartRun &Start, RunEnd How, const std::string &Saved = "") {
-    Scheduler->taskEnded(Start.Vm, TaskEnd{++EndNumber, Start.Run, How, Saved});
+  void end(const StartRun &Start, RunOutcome Outcome,
+           const std::string &Saved = "") {
+    Scheduler->taskEnded(Start.Vm,
+                         TaskEnd{++EndNumber, Start.Run, Outcome, Saved});
   }
   /// A report of the VM that lists these runs.
   void report(const std::string &Vm, std::vector<RunningTask> Running) {
@@ -97,8 +99,8 @@
   std::unique_ptr<PoolScheduler> Scheduler;
   std::vector<StartRun> Starts;
   std::vector<StopRun> Stops;
-  std::vector<PaceRun> Paces;
-  std::vector<AskAdvice> Asks;
+  std::vector<ThrottleRun> Paces;
+  std::vector<RequestAdvice> Asks;
   std::int64_t EndNumber = 0;
 };
 
--- a/tests/fakes/include/cuminroad/fakes/FakeVms.h
+++ b/tests/fakes/include/cuminroad/fakes/FakeVms.h
@@ -17,7 +17,7 @@
   std::string Vm;
   TaskRun Run;
   bool Start = false;
-  RunEnd How = RunEnd::Done;
+  RunOutcome How = RunOutcome::Done;
 };
 
 /// VMs that run tasks, with leases and fencing tokens, for several callers.
@@ -33,7 +33,7 @@
   OrderAnswer stop(const VmTarget &Vm, const TaskRun &Run);
 
   /// How a run goes; by default it is done after 300 ms.
-  std::function<std::pair<milliseconds, RunEnd>(const TaskRun &)> Plan;
+  std::function<std::pair<milliseconds, RunOutcome>(const TaskRun &)> Plan;
   std::vector<RunEvent> History;
   /// Tasks whose end as done was acknowledged without a lapse of the VM's lease
   /// since that end.
@@ -56,7 +56,7 @@
   milliseconds clock() const;
   int percentNow() const;
   VmState *reach(const VmTarget &Vm, OrderAnswer &Answer);
-  void end(const std::string &Id, const TaskRun &Run, RunEnd How);
+  void end(const std::string &Id, const TaskRun &Run, RunOutcome How);
   void lapse(const std::string &Id);
 
   FakeLoop &Home_;
--- a/tests/fakes/src/FakeVms.cpp
+++ b/tests/fakes/src/FakeVms.cpp
@@ -27,7 +27,7 @@
   VmState &Vm = Vms_[Id];
   for (const auto &[Run, EndsAt] : Vm.Running)
     History.push_back(
-        RunEvent{Home_.Time.now(), Id, Run, false, RunEnd::Lapsed});
+        RunEvent{Home_.Time.now(), Id, Run, false, RunOutcome::LeaseLapsed});
   Vm = VmState{};
   Vm.Born = Born;
 }
@@ -53,7 +53,7 @@
   return &State;
 }
 
-void FakeVms::end(const std::string &Id, const TaskRun &Run, RunEnd How) {
+void FakeVms::end(const std::string &Id, const TaskRun &Run, RunOutcome How) {
   VmState &Vm = Vms_[Id];
   if (Vm.Running.erase(Run) == 0)
     return;
@@ -70,7 +70,7 @@
     return;
   const auto Running = Vm.Running;
   for (const auto &[Run, EndsAt] : Running)
-    end(Id, Run, RunEnd::Lapsed);
+    end(Id, Run, RunOutcome::LeaseLapsed);
   Vm.EndedAt.clear();
 }
 
@@ -90,7 +90,7 @@
     if (End.Number > Order.AcknowledgedEnd)
       return false;
     const auto At = State->EndedAt.find(End.Number);
-    if (End.How == RunEnd::Done && At != State->EndedAt.end())
+    if (End.Outcome == RunOutcome::Done && At != State->EndedAt.end())
       AcknowledgedDone.emplace_back(End.Run.Task, At->second);
     return true;
   });
@@ -119,10 +119,10 @@
     return Out;
   }
   const auto [Length, How] =
-      Plan ? Plan(Order.Run) : std::pair{UsualRun, RunEnd::Done};
+      Plan ? Plan(Order.Run) : std::pair{UsualRun, RunOutcome::Done};
   State->Running[Order.Run] = Home_.Time.now() + Length;
   History.push_back(
-      RunEvent{Home_.Time.now(), Vm.Id, Order.Run, true, RunEnd::Done});
+      RunEvent{Home_.Time.now(), Vm.Id, Order.Run, true, RunOutcome::Done});
   Home_.after(Length, [this, Id = Vm.Id, Run = Order.Run, How = How] {
     end(Id, Run, How);
   });
@@ -137,7 +137,7 @@
     return Out;
   std::int64_t &Ended = State->Ended[Run.Task];
   Ended = std::max(Ended, Run.Number);
-  end(Vm.Id, Run, RunEnd::Stopped);
+  end(Vm.Id, Run, RunOutcome::Stopped);
   return Out;
 }
 
