--- a/packages/pool/include/cuminroad/pool/PoolScheduler.h
+++ b/packages/pool/include/cuminroad/pool/PoolScheduler.h
@@ -53,7 +53,7 @@
   /// of each later report.
   virtual void vmReported(std::string_view Vm, std::int64_t Incarnation,
                           std::span<const RunningTask> Running,
-                          TimePoint AskedAt) = 0;
+                          TimePoint RequestedAt) = 0;
   /// The VM does not answer: it gets no work, but what runs there may go on.
   virtual void vmUnreachable(std::string_view Vm) = 0;
   /// Nothing of before runs on the VM any more, for certain.
@@ -62,9 +62,9 @@
   virtual void vmRemoved(std::string_view Vm) = 0;
 
   /// Adds a job that is in the store.
-  virtual void addJob(JobPlan Plan, QueueTerms Terms, TimePoint Accepted) = 0;
+  virtual void addJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt) = 0;
   /// Adds a job of an earlier owner, with what the store knows of it.
-  virtual void restoreJob(JobPlan Plan, QueueTerms Terms, TimePoint Accepted,
+  virtual void restoreJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt,
                           const JobProgress &Progress) = 0;
   virtual void setTerms(const QueueTerms &Terms) = 0;
   virtual void cancelJob(std::string_view Job) = 0;
@@ -77,8 +77,8 @@
   virtual void stopAnswered(std::string_view Vm, const TaskRun &Run) = 0;
   /// What the advisor said; \p Asked without a ticket are not to be used.
   virtual void adviceReceived(const StepName &Step,
-                              std::span<const std::string> Asked,
-                              std::span<const AdviceTicket> Allowed,
+                              std::span<const std::string> QueriedVms,
+                              std::span<const AdviceTicket> Tickets,
                               TimePoint ValidUntil) = 0;
   virtual void adviceFailed(const StepName &Step) = 0;
 
@@ -114,8 +114,8 @@
 };
 
 /// \p Time and \p Wall must outlive the scheduler.
-std::unique_ptr<PoolScheduler> makePoolScheduler(const Clock &Time,
-                                                 const WallClock &Wall,
+std::unique_ptr<PoolScheduler> makePoolScheduler(const Clock &MonotonicClock,
+                                                 const WallClock &SystemClock,
                                                  const PoolOptions &Options);
 
 } // namespace cuminroad
--- a/packages/pool/src/AdvicePlanner.h
+++ b/packages/pool/src/AdvicePlanner.h
@@ -12,25 +12,26 @@
 /// are renewed for the few VMs that may take their next tasks.
 class AdvicePlanner {
 public:
-  AdvicePlanner(PoolTables &Tables, const WaitingSteps &Queue,
+  AdvicePlanner(PoolTables &Tables, const WaitingSteps &Waiting,
                 const PoolOptions &Options, TimePoint Now)
-      : Tables_(Tables), Queue_(Queue), Options_(Options), Now_(Now) {}
+      : Tables_(Tables), Waiting_(Waiting), Options_(Options), Now_(Now) {}
 
   void run();
 
 private:
-  void askAboutNewVms(StepRecord &Step);
+  void requestAdviceOnNewVms(StepRecord &Step);
   /// \returns whether the step may get VMs soon, so that its tickets count.
   bool renewTickets(StepRecord &Step);
   /// The VMs that are expected to take the step's next tasks when an answer
   /// comes.
-  std::vector<VmRecord *> nextVms(const StepRecord &Step) const;
-  bool soonReady(const StepRecord &Step) const;
-  void ask(StepRecord &Step, std::vector<std::string> Vms, bool Renewal);
-  double expectedMs(const StepRecord &Step, std::size_t Vms) const;
+  std::vector<VmRecord *> vmsForNextTasks(const StepRecord &Step) const;
+  bool isReadySoon(const StepRecord &Step) const;
+  void requestAdvice(StepRecord &Step, std::vector<std::string> Vms,
+                     bool Renewal);
+  double expectedLatencyMs(const StepRecord &Step, std::size_t Vms) const;
 
   PoolTables &Tables_;
-  const WaitingSteps &Queue_;
+  const WaitingSteps &Waiting_;
   const PoolOptions &Options_;
   TimePoint Now_;
 };
--- a/packages/pool/src/Forecast.cpp
+++ b/packages/pool/src/Forecast.cpp
@@ -9,7 +9,7 @@
 
 /// Expected ends are late rather than early: the next one counts as this far
 /// away at least.
-constexpr milliseconds LeastRemaining{50};
+constexpr milliseconds MinRemaining{50};
 
 std::int64_t fits(std::int64_t Free, std::int64_t Need) {
   if (Need <= 0)
@@ -32,12 +32,12 @@
     return TimePoint::max();
   const TimePoint End =
       Task.PlacedAt + std::chrono::duration_cast<milliseconds>(
-                          Plan.Estimate * Task.Vm->Slowness);
-  return std::max(End, Now + LeastRemaining);
+                          Plan.Estimate * Task.Vm->Slowdown);
+  return std::max(End, Now + MinRemaining);
 }
 
-Capacity freeAt(const VmRecord &Vm, TimePoint When, TimePoint Now) {
-  Capacity Out = Vm.free();
+Capacity freeCapacityAt(const VmRecord &Vm, TimePoint When, TimePoint Now) {
+  Capacity Out = Vm.freeCapacity();
   for (const TaskRecord *Task : Vm.Tasks)
     if (expectedEnd(*Task, Now) <= When)
       Out += Task->Step->Plan->reservedCapacity();
--- a/packages/pool/src/Forecast.h
+++ b/packages/pool/src/Forecast.h
@@ -1,7 +1,7 @@
 #ifndef CUMINROAD_POOL_SRC_FORECAST_H
 #define CUMINROAD_POOL_SRC_FORECAST_H
 
-#include "Records.h"
+#include "PoolRecords.h"
 
 // What is expected of VMs, from the estimates of the tasks on them.
 
@@ -13,7 +13,7 @@
 /// that lasts.
 TimePoint expectedEnd(const TaskRecord &Task, TimePoint Now);
 /// \returns the room that the VM is expected to have at \p When.
-Capacity freeAt(const VmRecord &Vm, TimePoint When, TimePoint Now);
+Capacity freeCapacityAt(const VmRecord &Vm, TimePoint When, TimePoint Now);
 
 } // namespace cuminroad
 
--- a/packages/pool/src/JobPlan.cpp
+++ b/packages/pool/src/JobPlan.cpp
@@ -19,9 +19,11 @@
 constexpr std::size_t MaxSteps = 500;
 constexpr int MaxOccurrences = 1'000'000;
 /// Largest figure of a size or a time.
-constexpr std::int64_t MaxFigure = 1'000'000'000'000;
+constexpr std::int64_t MaxNumber = 1'000'000'000'000;
 
-bool isFigure(std::int64_t Value) { return Value >= 0 && Value <= MaxFigure; }
+bool isAllowedNumber(std::int64_t Value) {
+  return Value >= 0 && Value <= MaxNumber;
+}
 
 } // namespace
 
@@ -34,21 +36,21 @@
     const StepPlan &Step = Plan.Steps[Index];
     if (Step.Tasks < 1 || Step.Tasks > MaxTasksPerStep)
       return failure(ErrorCode::ValueOutOfRange, "count");
-    if (!isFigure(Step.PerTask.MilliCores) ||
-        !isFigure(Step.PerTask.MemoryMb) ||
-        !isFigure(Step.PerTask.Accelerators))
+    if (!isAllowedNumber(Step.PerTask.MilliCores) ||
+        !isAllowedNumber(Step.PerTask.MemoryMb) ||
+        !isAllowedNumber(Step.PerTask.Accelerators))
       return failure(ErrorCode::ValueOutOfRange, "size of a task");
-    if (!isFigure(Step.Estimate.count()) ||
-        !isFigure(Step.LatencyTarget.count()) || Step.MaxPerVm < 0 ||
+    if (!isAllowedNumber(Step.Estimate.count()) ||
+        !isAllowedNumber(Step.LatencyTarget.count()) || Step.MaxPerVm < 0 ||
         Step.MaxUnavailable < 0)
       return failure(ErrorCode::ValueOutOfRange, "step");
-    for (const int Before : Step.DependsOn)
-      if (Before < 0 || Before >= static_cast<int>(Index))
+    for (const int Dependency : Step.DependsOn)
+      if (Dependency < 0 || Dependency >= static_cast<int>(Index))
         return failure(ErrorCode::ValueOutOfRange, "after");
   }
   if (Plan.Occurrences < 0 || Plan.Occurrences > MaxOccurrences)
     return failure(ErrorCode::ValueOutOfRange, "times");
-  if (!isFigure(Plan.Interval.count()))
+  if (!isAllowedNumber(Plan.Interval.count()))
     return failure(ErrorCode::ValueOutOfRange, "interval");
   return {};
 }
@@ -138,8 +140,8 @@
     if (const auto Checked = checkPlan(Out); !Checked)
       return tl::unexpected(Checked.error());
     return Out;
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::MalformedInput, Fault.what());
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::MalformedInput, Exception.what());
   }
 }
 
--- a/packages/pool/src/Records.h
+++ b/packages/pool/src/PoolRecords.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_POOL_SRC_RECORDS_H
-#define CUMINROAD_POOL_SRC_RECORDS_H
+#ifndef CUMINROAD_POOL_SRC_POOLRECORDS_H
+#define CUMINROAD_POOL_SRC_POOLRECORDS_H
 
 #include <map>
 #include <memory>
@@ -52,14 +52,14 @@
   /// earliest time for a run that an earlier owner started.
   std::optional<TimePoint> ConfirmedAt;
   /// When Percent last changed.
-  TimePoint MovedAt{};
+  TimePoint ProgressedAt{};
   int ProgressPercent = -1;
   double Measurement = 0;
-  int Pace = 100;
+  int SpeedPercent = 100;
   /// Not placed again before.
-  TimePoint NotBefore{};
+  TimePoint NotPlacedBefore{};
 
-  bool onVm() const { return Vm != nullptr; }
+  bool isOnVm() const { return Vm != nullptr; }
 };
 
 /// What the advisor said of one VM.
@@ -67,7 +67,7 @@
   std::string Ticket;
   TimePoint ValidUntil{};
   /// The life of the VM that the ticket is for.
-  std::int64_t Incarnation = 0;
+  std::int64_t VmIncarnation = 0;
 };
 
 struct StepRecord {
@@ -75,30 +75,32 @@
   const StepPlan *Plan = nullptr;
   int Number = 0;
   std::vector<TaskRecord> Tasks;
-  int Done = 0;
-  int OnVms = 0;
+  int DoneTasks = 0;
+  int TasksOnVms = 0;
   int GangFailures = 0;
   /// The last run of the gang that was counted as failed.
   std::int64_t GangFailedRun = 0;
   /// Tasks that wait, so that a pass need not look for them.
-  int Waiting = 0;
+  int WaitingTasks = 0;
   /// The VMs that may run the step, once the advisor was asked.
   std::map<VmRecord *, TicketRecord> AllowedVms;
   /// VMs that the advisor was asked about, and their lives.
-  std::unordered_map<const VmRecord *, std::int64_t> AskedVms;
+  std::unordered_map<const VmRecord *, std::int64_t> QueriedVms;
   /// PoolTables::VmsVersion when the step's VMs were last looked through.
-  std::int64_t VmsVersion = -1;
-  bool Asking = false;
+  std::int64_t SeenVmsVersion = -1;
+  bool AdvicePending = false;
   /// The VMs that the last pass kept for the step, and from when on.
   std::vector<VmRecord *> ReservedVms;
-  TimePoint ReservedAt{};
+  TimePoint ReservationStart{};
   /// Set at each pass in which the step could not be placed whole.
   bool Blocked = false;
   /// Since when it has been so, and when that is to be logged next.
   std::optional<TimePoint> BlockedSince;
-  milliseconds NextReport{0};
+  milliseconds NextBlockedReport{0};
 
-  bool complete() const { return Done == static_cast<int>(Tasks.size()); }
+  bool isComplete() const {
+    return DoneTasks == static_cast<int>(Tasks.size());
+  }
 };
 
 struct OccurrenceRecord {
@@ -111,61 +113,64 @@
 struct JobRecord {
   JobPlan Plan;
   QueueTerms Terms;
-  TimePoint Accepted{};
+  TimePoint AcceptedAt{};
   /// The longest chain of estimated work, with one call for advice a step.
-  milliseconds Chain{0};
+  milliseconds CriticalPath{0};
   JobStage Stage = JobStage::Queued;
   std::map<int, std::unique_ptr<OccurrenceRecord>> Occurrences;
   std::set<int> DoneOccurrences;
   /// Occurrences that have become due so far.
-  int Created = 0;
+  int CreatedOccurrences = 0;
   bool Started = false;
 
   milliseconds objective() const {
     return milliseconds(static_cast<std::int64_t>(
-               Terms.Stretch * static_cast<double>(Chain.count()))) +
+               Terms.Stretch * static_cast<double>(CriticalPath.count()))) +
            Terms.LatencyTarget;
   }
 };
 
 struct VmRecord {
-  PoolVm Vm;
+  PoolVm Description;
   /// Its lease is held, and all that runs on it is known.
-  bool Claimed = false;
+  bool LeaseHeld = false;
   bool Listed = true;
   /// The life that the last report was of; 0 before the first.
-  std::int64_t ReportedBorn = 0;
+  std::int64_t ReportedIncarnation = 0;
   Capacity Used;
   std::set<TaskRecord *> Tasks;
   /// Runs on the VM that belong to no unfinished task; they are being stopped.
   std::map<TaskRun, Capacity> UnknownRuns;
-  int FailuresInARow = 0;
+  int ConsecutiveFailures = 0;
   TimePoint QuarantinedAt{};
   TimePoint QuarantinedUntil{};
-  milliseconds Quarantine{0};
+  milliseconds QuarantineDuration{0};
   /// Not tried before, while in quarantine.
   TimePoint NextProbe{};
   /// Measured run time against the estimate, smoothed; 1 is as estimated.
-  double Slowness = 1.0;
+  double Slowdown = 1.0;
   /// Within a pass: kept for a blocked step until then, but for work that ends
   /// before or fits beside it.
-  std::optional<TimePoint> ReservedUntil;
+  std::optional<TimePoint> ReservationStart;
   /// Room at that time beside the blocked step.
-  Capacity Spare;
+  Capacity BackfillRoom;
   /// Fillers are held back at least until then.
-  TimePoint PacedUntil{};
-  milliseconds PaceTime{0};
+  TimePoint ThrottledUntil{};
+  milliseconds ThrottleDuration{0};
 
-  Capacity free() const { return Vm.Total - Used; }
+  Capacity freeCapacity() const { return Description.Total - Used; }
   /// Whether it may get new work, quarantine aside.
-  bool takesWork() const { return Claimed && Listed && !Vm.Leaving; }
+  bool acceptsWork() const {
+    return LeaseHeld && Listed && !Description.Leaving;
+  }
   bool inQuarantine(TimePoint Now) const { return Now < QuarantinedUntil; }
 };
 
 /// Whether the VM, when empty, could hold a task of the step.
-inline bool suits(const StepPlan &Plan, const VmRecord &Vm) {
-  return Plan.reservedCapacity().fitsIn(Vm.Vm.Total) &&
-         (Plan.RequiredLabel.empty() || Vm.Vm.hasLabel(Plan.RequiredLabel));
+inline bool canHost(const StepPlan &Plan, const VmRecord &Vm) {
+  return Plan.reservedCapacity().fitsIn(Vm.Description.Total) &&
+         (Plan.RequiredLabel.empty() ||
+          Vm.Description.hasLabel(Plan.RequiredLabel));
 }
 
 } // namespace cuminroad
--- a/packages/pool/src/PoolSchedulerImpl.h
+++ b/packages/pool/src/PoolSchedulerImpl.h
@@ -9,20 +9,21 @@
 /// The events of PoolScheduler on PoolTables.
 class PoolSchedulerImpl final : public PoolScheduler {
 public:
-  PoolSchedulerImpl(const Clock &Time, const WallClock &Wall,
+  PoolSchedulerImpl(const Clock &MonotonicClock, const WallClock &SystemClock,
                     const PoolOptions &Options)
-      : Time_(Time), Wall_(Wall), Options_(Options) {}
+      : MonotonicClock_(MonotonicClock), SystemClock_(SystemClock),
+        Options_(Options) {}
 
   void vmListed(const PoolVm &Vm) override;
   void vmReported(std::string_view Vm, std::int64_t Incarnation,
                   std::span<const RunningTask> Running,
-                  TimePoint AskedAt) override;
+                  TimePoint RequestedAt) override;
   void vmUnreachable(std::string_view Vm) override;
   void vmEmptied(std::string_view Vm) override;
   void vmRemoved(std::string_view Vm) override;
 
-  void addJob(JobPlan Plan, QueueTerms Terms, TimePoint Accepted) override;
-  void restoreJob(JobPlan Plan, QueueTerms Terms, TimePoint Accepted,
+  void addJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt) override;
+  void restoreJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt,
                   const JobProgress &Progress) override;
   void setTerms(const QueueTerms &Terms) override;
   void cancelJob(std::string_view Job) override;
@@ -32,8 +33,9 @@
   void startAnswered(std::string_view Vm, const TaskRun &Run,
                      StartOutcome Outcome) override;
   void stopAnswered(std::string_view Vm, const TaskRun &Run) override;
-  void adviceReceived(const StepName &Step, std::span<const std::string> Asked,
-                      std::span<const AdviceTicket> Allowed,
+  void adviceReceived(const StepName &Step,
+                      std::span<const std::string> QueriedVms,
+                      std::span<const AdviceTicket> Tickets,
                       TimePoint ValidUntil) override;
   void adviceFailed(const StepName &Step) override;
   bool needsAdvice(const StepName &Step) const override;
@@ -54,44 +56,44 @@
   const QueueTerms *terms(std::string_view Job) const override;
 
 private:
-  JobRecord &insert(JobPlan Plan, QueueTerms Terms, TimePoint Accepted);
+  JobRecord &insertJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt);
   void restoreOccurrence(JobRecord &Job, const OccurrenceProgress &Progress);
   void restoreTask(StepRecord &Step, const TaskProgress &Progress);
   /// The present run of \p Run's task, if it is the one meant and on \p Vm.
-  TaskRecord *current(const VmRecord *Vm, const TaskRun &Run) const;
-  void lose(TaskRecord &Task, std::string_view Reason);
-  void emptyVm(VmRecord &Vm, std::string_view Reason);
+  TaskRecord *findCurrentTask(const VmRecord *Vm, const TaskRun &Run) const;
+  void loseRun(TaskRecord &Task, std::string_view Reason);
+  void clearVm(VmRecord &Vm, std::string_view Reason);
   void stopTask(TaskRecord &Task);
-  void reportRunning(VmRecord &Vm, const RunningTask &Report);
-  void dropMissing(VmRecord &Vm, std::span<const RunningTask> Running,
-                   TimePoint AskedAt, std::string_view Reason);
-  void noteCheckpoint(TaskRecord &Task, const std::string &Checkpoint);
+  void applyRunReport(VmRecord &Vm, const RunningTask &Report);
+  void loseMissingRuns(VmRecord &Vm, std::span<const RunningTask> Running,
+                       TimePoint RequestedAt, std::string_view Reason);
+  void recordCheckpoint(TaskRecord &Task, const std::string &Checkpoint);
   /// Counts the failure of a task that is on its VM against the VM.
-  void countFailure(const TaskRecord &Task);
+  void recordVmFailure(const TaskRecord &Task);
   void stopTasksOfLeavingVm(VmRecord &Vm);
-  void paceFillers(VmRecord &Vm);
-  void setPace(TaskRecord &Task, int Percent);
+  void throttleBestEffortTasks(VmRecord &Vm);
+  void setSpeed(TaskRecord &Task, int SpeedPercent);
 
-  void ended(TaskRecord &Task, const TaskEnd &End, VmRecord &Vm);
-  void endedDone(TaskRecord &Task, VmRecord &Vm);
+  void runEnded(TaskRecord &Task, const TaskEnd &End, VmRecord &Vm);
+  void runSucceeded(TaskRecord &Task, VmRecord &Vm);
   /// An end as done of a run that was given up: it counts all the same.
-  void earlierRunDone(const TaskRun &Run);
+  void earlierRunSucceeded(const TaskRun &Run);
   /// Stops the task's run, if it has one, as one that nobody waits for.
-  void disown(TaskRecord &Task);
+  void abandonRun(TaskRecord &Task);
   /// Stops a run that belongs to no unfinished task; it takes room until then.
-  void stopStranger(VmRecord &Vm, const TaskRun &Run, const Capacity &Size);
+  void stopUnknownRun(VmRecord &Vm, const TaskRun &Run, const Capacity &Size);
   void finishTask(TaskRecord &Task);
-  void endedFailed(TaskRecord &Task);
-  void noteRunTime(const TaskRecord &Task, VmRecord &Vm) const;
+  void runFailed(TaskRecord &Task);
+  void updateSlowdown(const TaskRecord &Task, VmRecord &Vm) const;
   void finishOccurrence(OccurrenceRecord &Occurrence);
   void finishJob(JobRecord &Job, JobStage Stage);
   /// Moves a finished job with nothing on VMs out of the way.
-  void settleJob(JobRecord &Job);
+  void archiveFinishedJob(JobRecord &Job);
   void createDueOccurrences();
   void stopStuckTasks();
 
-  const Clock &Time_;
-  const WallClock &Wall_;
+  const Clock &MonotonicClock_;
+  const WallClock &SystemClock_;
   PoolOptions Options_;
   PoolTables Tables_;
   TimePoint NextStuckCheck_{};
--- a/packages/pool/src/PoolSchedulerJobs.cpp
+++ b/packages/pool/src/PoolSchedulerJobs.cpp
@@ -5,38 +5,38 @@
 
 namespace cuminroad {
 
-JobRecord &PoolSchedulerImpl::insert(JobPlan Plan, QueueTerms Terms,
-                                     TimePoint Accepted) {
+JobRecord &PoolSchedulerImpl::insertJob(JobPlan Plan, QueueTerms Terms,
+                                        TimePoint AcceptedAt) {
   auto New = std::make_unique<JobRecord>();
-  New->Chain = longestChain(Plan, Terms);
+  New->CriticalPath = criticalPath(Plan, Terms);
   New->Plan = std::move(Plan);
   New->Terms = std::move(Terms);
-  New->Accepted = Accepted;
+  New->AcceptedAt = AcceptedAt;
   JobRecord &Out = *New;
   Tables_.Jobs[Out.Plan.Id] = std::move(New);
   return Out;
 }
 
 void PoolSchedulerImpl::addJob(JobPlan Plan, QueueTerms Terms,
-                               TimePoint Accepted) {
+                               TimePoint AcceptedAt) {
   if (stage(Plan.Id))
     return;
-  JobRecord &Job = insert(std::move(Plan), std::move(Terms), Accepted);
+  JobRecord &Job = insertJob(std::move(Plan), std::move(Terms), AcceptedAt);
   if (Job.Plan.Occurrences == 0) {
-    Tables_.makeOccurrence(Job, 0, Accepted);
-    Job.Created = 1;
+    Tables_.createOccurrence(Job, 0, AcceptedAt);
+    Job.CreatedOccurrences = 1;
   }
 }
 
 void PoolSchedulerImpl::restoreJob(JobPlan Plan, QueueTerms Terms,
-                                   TimePoint Accepted,
+                                   TimePoint AcceptedAt,
                                    const JobProgress &Progress) {
   if (isFinal(Progress.Stage)) {
-    Tables_.Finished[Plan.Id] = Progress.Stage;
+    Tables_.FinishedJobs[Plan.Id] = Progress.Stage;
     return;
   }
   const std::string Id = Plan.Id;
-  addJob(std::move(Plan), std::move(Terms), Accepted);
+  addJob(std::move(Plan), std::move(Terms), AcceptedAt);
   JobRecord *Job = Tables_.job(Id);
   if (Job == nullptr)
     return;
@@ -48,14 +48,15 @@
 
 void PoolSchedulerImpl::restoreOccurrence(JobRecord &Job,
                                           const OccurrenceProgress &Progress) {
-  Job.Created = std::max(Job.Created, Progress.Number + 1);
+  Job.CreatedOccurrences =
+      std::max(Job.CreatedOccurrences, Progress.Number + 1);
   if (Progress.Done) {
     Job.DoneOccurrences.insert(Progress.Number);
     Job.Occurrences.erase(Progress.Number);
     return;
   }
   if (!Job.Occurrences.contains(Progress.Number))
-    Tables_.makeOccurrence(Job, Progress.Number, Job.Accepted);
+    Tables_.createOccurrence(Job, Progress.Number, Job.AcceptedAt);
   OccurrenceRecord &Occurrence = *Job.Occurrences[Progress.Number];
   for (const StepProgress &Each : Progress.Steps) {
     if (Each.Step < 0 || Each.Step >= static_cast<int>(Occurrence.Steps.size()))
@@ -84,16 +85,16 @@
   Task.Checkpoint = Progress.Checkpoint;
   if (Progress.Vm.empty())
     return;
-  VmRecord &Vm = Tables_.makeVm(Progress.Vm);
-  if (Vm.Vm.Incarnation == 0)
-    Vm.Vm.Incarnation = Progress.VmIncarnation;
+  VmRecord &Vm = Tables_.findOrCreateVm(Progress.Vm);
+  if (Vm.Description.Incarnation == 0)
+    Vm.Description.Incarnation = Progress.VmIncarnation;
   // A later life of the VM has nothing of this run.
-  if (Vm.Vm.Incarnation != Progress.VmIncarnation)
+  if (Vm.Description.Incarnation != Progress.VmIncarnation)
     return;
-  Task.PlacedAt = Time_.now();
-  Task.MovedAt = Task.PlacedAt;
+  Task.PlacedAt = MonotonicClock_.now();
+  Task.ProgressedAt = Task.PlacedAt;
   Task.ConfirmedAt = TimePoint::min();
-  Tables_.adopt(Task, Vm, TaskPhase::Running);
+  Tables_.assign(Task, Vm, TaskPhase::Running);
 }
 
 void PoolSchedulerImpl::setTerms(const QueueTerms &Terms) {
@@ -107,13 +108,13 @@
   if (Job == nullptr || isFinal(Job->Stage))
     return;
   finishJob(*Job, JobStage::Cancelled);
-  settleJob(*Job);
+  archiveFinishedJob(*Job);
 }
 
 void PoolSchedulerImpl::forgetJob(std::string_view Id) {
-  const auto Found = Tables_.Finished.find(Id);
-  if (Found != Tables_.Finished.end())
-    Tables_.Finished.erase(Found);
+  const auto Found = Tables_.FinishedJobs.find(Id);
+  if (Found != Tables_.FinishedJobs.end())
+    Tables_.FinishedJobs.erase(Found);
 }
 
 void PoolSchedulerImpl::finishOccurrence(OccurrenceRecord &Occurrence) {
@@ -128,35 +129,37 @@
 
 void PoolSchedulerImpl::finishJob(JobRecord &Job, JobStage Stage) {
   Job.Stage = Stage;
-  Tables_.changed(Job);
+  Tables_.markChanged(Job);
   for (const auto &[Number, Occurrence] : Job.Occurrences)
     for (StepRecord &Step : Occurrence->Steps)
       for (TaskRecord &Task : Step.Tasks)
-        if (Task.onVm())
+        if (Task.isOnVm())
           stopTask(Task);
 }
 
-void PoolSchedulerImpl::settleJob(JobRecord &Job) {
+void PoolSchedulerImpl::archiveFinishedJob(JobRecord &Job) {
   if (!isFinal(Job.Stage))
     return;
   for (const auto &[Number, Occurrence] : Job.Occurrences)
     for (const StepRecord &Step : Occurrence->Steps)
-      if (Step.OnVms > 0)
+      if (Step.TasksOnVms > 0)
         return;
-  Tables_.Finished[Job.Plan.Id] = Job.Stage;
+  Tables_.FinishedJobs[Job.Plan.Id] = Job.Stage;
   Tables_.Jobs.erase(Job.Plan.Id);
 }
 
 void PoolSchedulerImpl::createDueOccurrences() {
-  const milliseconds Wall = Wall_.sinceEpoch();
+  const milliseconds SinceEpoch = SystemClock_.sinceEpoch();
   for (const auto &[Id, Job] : Tables_.Jobs) {
     if (Job->Plan.Occurrences == 0 || isFinal(Job->Stage))
       continue;
-    while (Job->Created < Job->Plan.Occurrences &&
-           Job->Plan.FirstDue + Job->Plan.Interval * Job->Created <= Wall) {
-      Tables_.makeOccurrence(*Job, Job->Created, Time_.now());
-      ++Job->Created;
-      Tables_.changed(*Job);
+    while (Job->CreatedOccurrences < Job->Plan.Occurrences &&
+           Job->Plan.FirstDue + Job->Plan.Interval * Job->CreatedOccurrences <=
+               SinceEpoch) {
+      Tables_.createOccurrence(*Job, Job->CreatedOccurrences,
+                               MonotonicClock_.now());
+      ++Job->CreatedOccurrences;
+      Tables_.markChanged(*Job);
     }
   }
 }
@@ -164,8 +167,8 @@
 std::optional<JobStage> PoolSchedulerImpl::stage(std::string_view Id) const {
   if (const JobRecord *Job = Tables_.job(Id))
     return Job->Stage;
-  const auto Found = Tables_.Finished.find(Id);
-  if (Found == Tables_.Finished.end())
+  const auto Found = Tables_.FinishedJobs.find(Id);
+  if (Found == Tables_.FinishedJobs.end())
     return std::nullopt;
   return Found->second;
 }
@@ -174,8 +177,8 @@
   if (const JobRecord *Job = Tables_.job(Id))
     return progressOf(*Job);
   JobProgress Out;
-  const auto Found = Tables_.Finished.find(Id);
-  if (Found != Tables_.Finished.end())
+  const auto Found = Tables_.FinishedJobs.find(Id);
+  if (Found != Tables_.FinishedJobs.end())
     Out.Stage = Found->second;
   return Out;
 }
--- a/packages/pool/src/PoolSchedulerRuns.cpp
+++ b/packages/pool/src/PoolSchedulerRuns.cpp
@@ -12,20 +12,20 @@
 namespace {
 
 /// Weight of the newest run in a VM's smoothed slowness.
-constexpr double NewestWeight = 0.15;
+constexpr double SlowdownSmoothing = 0.15;
 /// Estimates are off by up to a factor of this order; a single run says no
 /// more.
-constexpr double SlownessMin = 0.4;
-constexpr double SlownessMax = 4.0;
+constexpr double MinSlowdown = 0.4;
+constexpr double MaxSlowdown = 4.0;
 /// How often tasks are looked through for those that stand still.
-constexpr milliseconds StuckCheck{250};
+constexpr milliseconds StuckCheckInterval{250};
 /// Progress of a serving task that is at work.
-constexpr int FullPercent = 100;
+constexpr int ReadyPercent = 100;
 
 } // namespace
 
-TaskRecord *PoolSchedulerImpl::current(const VmRecord *Vm,
-                                       const TaskRun &Run) const {
+TaskRecord *PoolSchedulerImpl::findCurrentTask(const VmRecord *Vm,
+                                               const TaskRun &Run) const {
   TaskRecord *Task = Tables_.task(Run.Task);
   if (Task == nullptr || Vm == nullptr || Task->Vm != Vm ||
       Task->Run != Run.Number)
@@ -35,7 +35,7 @@
 
 bool PoolSchedulerImpl::isCurrentRun(std::string_view Vm,
                                      const TaskRun &Run) const {
-  const TaskRecord *Task = current(Tables_.vm(Vm), Run);
+  const TaskRecord *Task = findCurrentTask(Tables_.vm(Vm), Run);
   return Task != nullptr && Task->Phase != TaskPhase::Stopping;
 }
 
@@ -44,25 +44,25 @@
     return;
   Tables_.setPhase(Task, TaskPhase::Stopping);
   Tables_.Commands.push_back(
-      StopRun{Task.Vm->Vm.Id, TaskRun{nameOf(Task), Task.Run}});
+      StopRun{Task.Vm->Description.Id, TaskRun{nameOf(Task), Task.Run}});
 }
 
 void PoolSchedulerImpl::taskEnded(std::string_view Id, const TaskEnd &End) {
   VmRecord *Vm = Tables_.vm(Id);
   if (Vm == nullptr)
     return;
-  const auto Stranger = Vm->UnknownRuns.find(End.Run);
-  if (Stranger != Vm->UnknownRuns.end()) {
-    Vm->Used -= Stranger->second;
-    Vm->UnknownRuns.erase(Stranger);
+  const auto UnknownRun = Vm->UnknownRuns.find(End.Run);
+  if (UnknownRun != Vm->UnknownRuns.end()) {
+    Vm->Used -= UnknownRun->second;
+    Vm->UnknownRuns.erase(UnknownRun);
   }
-  if (TaskRecord *Task = current(Vm, End.Run))
-    ended(*Task, End, *Vm);
+  if (TaskRecord *Task = findCurrentTask(Vm, End.Run))
+    runEnded(*Task, End, *Vm);
   else if (End.Outcome == RunOutcome::Done)
-    earlierRunDone(End.Run);
+    earlierRunSucceeded(End.Run);
 }
 
-void PoolSchedulerImpl::earlierRunDone(const TaskRun &Run) {
+void PoolSchedulerImpl::earlierRunSucceeded(const TaskRun &Run) {
   TaskRecord *Task = Tables_.task(Run.Task);
   if (Task == nullptr || Task->Phase == TaskPhase::Done ||
       Run.Number > Task->Run || Task->Step->Plan->LongRunning ||
@@ -70,70 +70,71 @@
     return;
   if (Task->Step->Plan->Gang)
     for (TaskRecord &Member : Task->Step->Tasks)
-      disown(Member);
+      abandonRun(Member);
   else
-    disown(*Task);
+    abandonRun(*Task);
   finishTask(*Task);
 }
 
-void PoolSchedulerImpl::disown(TaskRecord &Task) {
-  if (!Task.onVm())
+void PoolSchedulerImpl::abandonRun(TaskRecord &Task) {
+  if (!Task.isOnVm())
     return;
   VmRecord &Vm = *Task.Vm;
   const TaskRun Run{nameOf(Task), Task.Run};
   Tables_.release(Task);
-  stopStranger(Vm, Run, Task.Step->Plan->reservedCapacity());
+  stopUnknownRun(Vm, Run, Task.Step->Plan->reservedCapacity());
 }
 
-void PoolSchedulerImpl::ended(TaskRecord &Task, const TaskEnd &End,
-                              VmRecord &Vm) {
-  noteCheckpoint(Task, End.Checkpoint);
+void PoolSchedulerImpl::runEnded(TaskRecord &Task, const TaskEnd &End,
+                                 VmRecord &Vm) {
+  recordCheckpoint(Task, End.Checkpoint);
   JobRecord &Job = *Task.Step->Occurrence->Job;
   if (isFinal(Job.Stage)) {
     Tables_.release(Task);
-    return settleJob(Job);
+    return archiveFinishedJob(Job);
   }
   switch (End.Outcome) {
   case RunOutcome::Done:
-    return endedDone(Task, Vm);
+    return runSucceeded(Task, Vm);
   case RunOutcome::Failed:
-    return endedFailed(Task);
+    return runFailed(Task);
   case RunOutcome::Stopped:
   case RunOutcome::GangBroken:
     return Tables_.release(Task);
   case RunOutcome::LeaseLapsed:
   case RunOutcome::GangIncomplete:
-    return lose(Task, End.Outcome == RunOutcome::LeaseLapsed
-                          ? "lapsed"
-                          : "gang_incomplete");
+    return loseRun(Task, End.Outcome == RunOutcome::LeaseLapsed
+                             ? "lapsed"
+                             : "gang_incomplete");
   }
 }
 
-void PoolSchedulerImpl::noteRunTime(const TaskRecord &Task,
-                                    VmRecord &Vm) const {
+void PoolSchedulerImpl::updateSlowdown(const TaskRecord &Task,
+                                       VmRecord &Vm) const {
   const StepPlan &Plan = *Task.Step->Plan;
   if (Plan.BestEffort || Plan.Gang || Plan.Estimate.count() <= 0 ||
       !Task.Checkpoint.empty() || !Task.ConfirmedAt ||
       *Task.ConfirmedAt == TimePoint::min())
     return;
-  const double Took = static_cast<double>(
-      std::chrono::duration_cast<milliseconds>(Time_.now() - Task.PlacedAt)
-          .count());
+  const double ElapsedMs =
+      static_cast<double>(std::chrono::duration_cast<milliseconds>(
+                              MonotonicClock_.now() - Task.PlacedAt)
+                              .count());
   const double Ratio =
-      std::clamp(Took / static_cast<double>(Plan.Estimate.count()), SlownessMin,
-                 SlownessMax);
-  Vm.Slowness += (Ratio - Vm.Slowness) * NewestWeight;
+      std::clamp(ElapsedMs / static_cast<double>(Plan.Estimate.count()),
+                 MinSlowdown, MaxSlowdown);
+  Vm.Slowdown += (Ratio - Vm.Slowdown) * SlowdownSmoothing;
 }
 
-void PoolSchedulerImpl::endedDone(TaskRecord &Task, VmRecord &Vm) {
+void PoolSchedulerImpl::runSucceeded(TaskRecord &Task, VmRecord &Vm) {
   StepRecord &Step = *Task.Step;
-  Vm.FailuresInARow = 0;
-  Vm.Quarantine = milliseconds(0);
+  Vm.ConsecutiveFailures = 0;
+  Vm.QuarantineDuration = milliseconds(0);
   if (Task.PlacedAt >= Vm.QuarantinedAt)
     Vm.QuarantinedUntil = TimePoint{};
   if (Step.Plan->LongRunning)
     return Tables_.release(Task);
-  noteRunTime(Task, Vm);
+  updateSlowdown(Task, Vm);
   finishTask(Task);
 }
 
@@ -148,18 +149,18 @@
   OccurrenceRecord &Occurrence = *Step.Occurrence;
   const bool Complete =
       std::all_of(Occurrence.Steps.begin(), Occurrence.Steps.end(),
-                  [](const StepRecord &Each) { return Each.complete(); });
+                  [](const StepRecord &Each) { return Each.isComplete(); });
   if (!Complete)
     return;
   JobRecord &Job = *Occurrence.Job;
   finishOccurrence(Occurrence);
-  settleJob(Job);
+  archiveFinishedJob(Job);
 }
 
-void PoolSchedulerImpl::endedFailed(TaskRecord &Task) {
+void PoolSchedulerImpl::runFailed(TaskRecord &Task) {
   StepRecord &Step = *Task.Step;
   JobRecord &Job = *Step.Occurrence->Job;
-  countFailure(Task);
+  recordVmFailure(Task);
   Tables_.release(Task);
   if (Step.Plan->LongRunning)
     return;
@@ -173,14 +174,14 @@
   }
   if (Failures >= Job.Terms.MaxAttempts) {
     finishJob(Job, JobStage::Failed);
-    settleJob(Job);
+    archiveFinishedJob(Job);
   }
 }
 
 void PoolSchedulerImpl::startAnswered(std::string_view Id, const TaskRun &Run,
                                       StartOutcome Outcome) {
   VmRecord *Vm = Tables_.vm(Id);
-  TaskRecord *Task = current(Vm, Run);
+  TaskRecord *Task = findCurrentTask(Vm, Run);
   if (Task == nullptr)
     return;
   // An old run was started by an earlier try of the order, and may have ended:
@@ -188,61 +189,61 @@
   if (Outcome == StartOutcome::Accepted || Outcome == StartOutcome::OldRun) {
     if (Task->Phase == TaskPhase::Placed)
       Tables_.setPhase(*Task, TaskPhase::Running);
-    Task->ConfirmedAt = Time_.now();
+    Task->ConfirmedAt = MonotonicClock_.now();
     return;
   }
   if (Task->Phase != TaskPhase::Placed && Task->Phase != TaskPhase::Stopping)
     return;
   if (Outcome == StartOutcome::Refused)
-    countFailure(*Task);
+    recordVmFailure(*Task);
   if (Outcome == StartOutcome::TicketExpired) {
     Task->Step->AllowedVms.erase(Vm);
-    Task->Step->AskedVms.erase(Vm);
-    Task->Step->VmsVersion = -1;
+    Task->Step->QueriedVms.erase(Vm);
+    Task->Step->SeenVmsVersion = -1;
   } else {
-    Task->NotBefore = Time_.now() + Options_.RefusedStartDelay;
+    Task->NotPlacedBefore = MonotonicClock_.now() + Options_.RefusedStartDelay;
   }
-  lose(*Task, "start_refused");
+  loseRun(*Task, "start_refused");
 }
 
 void PoolSchedulerImpl::stopAnswered(std::string_view Id, const TaskRun &Run) {
-  TaskRecord *Task = current(Tables_.vm(Id), Run);
+  TaskRecord *Task = findCurrentTask(Tables_.vm(Id), Run);
   // The VM now refuses the run, if it was not there.
   if (Task != nullptr && !Task->ConfirmedAt)
-    Task->ConfirmedAt = Time_.now();
+    Task->ConfirmedAt = MonotonicClock_.now();
 }
 
 void PoolSchedulerImpl::adviceReceived(const StepName &Name,
-                                       std::span<const std::string> Asked,
-                                       std::span<const AdviceTicket> Allowed,
+                                       std::span<const std::string> QueriedVms,
+                                       std::span<const AdviceTicket> Tickets,
                                        TimePoint ValidUntil) {
   StepRecord *Step = Tables_.step(Name);
   if (Step == nullptr)
     return;
-  Step->Asking = false;
+  Step->AdvicePending = false;
   // A question that was dropped has yet to be asked.
-  if (Asked.empty())
-    Step->VmsVersion = -1;
-  for (const std::string &Id : Asked)
+  if (QueriedVms.empty())
+    Step->SeenVmsVersion = -1;
+  for (const std::string &Id : QueriedVms)
     if (const VmRecord *Vm = Tables_.vm(Id))
-      Step->AskedVms[Vm] = Vm->Vm.Incarnation;
-  for (const AdviceTicket &Entry : Allowed)
+      Step->QueriedVms[Vm] = Vm->Description.Incarnation;
+  for (const AdviceTicket &Entry : Tickets)
     if (VmRecord *Vm = Tables_.vm(Entry.Vm))
       Step->AllowedVms[Vm] =
-          TicketRecord{Entry.Ticket, ValidUntil, Vm->Vm.Incarnation};
+          TicketRecord{Entry.Ticket, ValidUntil, Vm->Description.Incarnation};
 }
 
 void PoolSchedulerImpl::adviceFailed(const StepName &Name) {
   StepRecord *Step = Tables_.step(Name);
   if (Step == nullptr)
     return;
-  Step->Asking = false;
-  Step->VmsVersion = -1;
+  Step->AdvicePending = false;
+  Step->SeenVmsVersion = -1;
 }
 
 bool PoolSchedulerImpl::needsAdvice(const StepName &Name) const {
   const StepRecord *Step = Tables_.step(Name);
-  return Step != nullptr && Step->Waiting > 0 &&
+  return Step != nullptr && Step->WaitingTasks > 0 &&
          !isFinal(Step->Occurrence->Job->Stage);
 }
 
@@ -251,22 +252,22 @@
 }
 
 void PoolSchedulerImpl::stopStuckTasks() {
-  const TimePoint Now = Time_.now();
+  const TimePoint Now = MonotonicClock_.now();
   if (Now < NextStuckCheck_)
     return;
-  NextStuckCheck_ = Now + StuckCheck;
+  NextStuckCheck_ = Now + StuckCheckInterval;
   for (const auto &[Id, Vm] : Tables_.Vms) {
-    if (!Vm->Claimed)
+    if (!Vm->LeaseHeld)
       continue;
     const std::vector<TaskRecord *> Tasks(Vm->Tasks.begin(), Vm->Tasks.end());
     for (TaskRecord *Task : Tasks) {
       const StepPlan &Plan = *Task->Step->Plan;
-      const bool AtWork =
-          Plan.LongRunning && Task->ProgressPercent >= FullPercent;
+      const bool IsServing =
+          Plan.LongRunning && Task->ProgressPercent >= ReadyPercent;
       if (Task->Phase != TaskPhase::Running || Plan.BestEffort || Plan.Gang ||
-          AtWork || Now - Task->MovedAt < Options_.StuckAfter)
+          IsServing || Now - Task->ProgressedAt < Options_.StuckAfter)
         continue;
-      countFailure(*Task);
+      recordVmFailure(*Task);
       stopTask(*Task);
     }
   }
@@ -275,10 +276,10 @@
 void PoolSchedulerImpl::schedule() {
   createDueOccurrences();
   stopStuckTasks();
-  const TimePoint Now = Time_.now();
-  const WaitingSteps Queue = gatherWaiting(Tables_, Options_, Now);
-  SchedulingPass(Tables_, Queue, Options_, Now).run();
-  AdvicePlanner(Tables_, Queue, Options_, Now).run();
+  const TimePoint Now = MonotonicClock_.now();
+  const WaitingSteps Waiting = collectWaitingSteps(Tables_, Options_, Now);
+  SchedulingPass(Tables_, Waiting, Options_, Now).run();
+  AdvicePlanner(Tables_, Waiting, Options_, Now).run();
 }
 
 std::vector<PoolCommand> PoolSchedulerImpl::takeCommands() {
@@ -286,19 +287,21 @@
 }
 
 std::vector<std::string> PoolSchedulerImpl::takeChangedJobs() {
-  std::vector<std::string> Out(Tables_.Changed.begin(), Tables_.Changed.end());
-  Tables_.Changed.clear();
+  std::vector<std::string> Out(Tables_.ChangedJobs.begin(),
+                               Tables_.ChangedJobs.end());
+  Tables_.ChangedJobs.clear();
   return Out;
 }
 
 PoolDiagnostics PoolSchedulerImpl::takeDiagnostics() {
-  return std::exchange(Tables_.Notes, {});
+  return std::exchange(Tables_.Diagnostics, {});
 }
 
-std::unique_ptr<PoolScheduler> makePoolScheduler(const Clock &Time,
-                                                 const WallClock &Wall,
+std::unique_ptr<PoolScheduler> makePoolScheduler(const Clock &MonotonicClock,
+                                                 const WallClock &SystemClock,
                                                  const PoolOptions &Options) {
-  return std::make_unique<PoolSchedulerImpl>(Time, Wall, Options);
+  return std::make_unique<PoolSchedulerImpl>(MonotonicClock, SystemClock,
+                                             Options);
 }
 
 } // namespace cuminroad
--- a/packages/pool/src/PoolTables.cpp
+++ b/packages/pool/src/PoolTables.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// VMs that one call for advice names in the statement of the objective.
-constexpr double AdvisedVms = 30;
+constexpr double ObjectiveAdviceVms = 30;
 
 template <typename Map> auto *lookUp(const Map &In, std::string_view Id) {
   const auto Found = In.find(Id);
@@ -22,11 +22,11 @@
 
 VmRecord *PoolTables::vm(std::string_view Id) const { return lookUp(Vms, Id); }
 
-VmRecord &PoolTables::makeVm(std::string_view Id) {
+VmRecord &PoolTables::findOrCreateVm(std::string_view Id) {
   std::unique_ptr<VmRecord> &Slot = Vms[std::string(Id)];
   if (!Slot) {
     Slot = std::make_unique<VmRecord>();
-    Slot->Vm.Id = Id;
+    Slot->Description.Id = Id;
   }
   return *Slot;
 }
@@ -52,8 +52,8 @@
   return &Step->Tasks[static_cast<std::size_t>(Name.Index)];
 }
 
-OccurrenceRecord &PoolTables::makeOccurrence(JobRecord &Job, int Number,
-                                             TimePoint Due) {
+OccurrenceRecord &PoolTables::createOccurrence(JobRecord &Job, int Number,
+                                               TimePoint Due) {
   auto New = std::make_unique<OccurrenceRecord>();
   New->Job = &Job;
   New->Number = Number;
@@ -65,7 +65,7 @@
     Step.Plan = &Job.Plan.Steps[Index];
     Step.Number = static_cast<int>(Index);
     Step.Tasks.resize(static_cast<std::size_t>(Step.Plan->Tasks));
-    Step.Waiting = Step.Plan->Tasks;
+    Step.WaitingTasks = Step.Plan->Tasks;
     for (std::size_t Task = 0; Task < Step.Tasks.size(); ++Task) {
       Step.Tasks[Task].Step = &Step;
       Step.Tasks[Task].Index = static_cast<int>(Task);
@@ -78,53 +78,53 @@
 
 void PoolTables::setPhase(TaskRecord &Task, TaskPhase Phase) {
   StepRecord &Step = *Task.Step;
-  Step.Waiting -= Task.Phase == TaskPhase::Waiting;
-  Step.Done -= Task.Phase == TaskPhase::Done;
+  Step.WaitingTasks -= Task.Phase == TaskPhase::Waiting;
+  Step.DoneTasks -= Task.Phase == TaskPhase::Done;
   Task.Phase = Phase;
-  Step.Waiting += Phase == TaskPhase::Waiting;
-  Step.Done += Phase == TaskPhase::Done;
+  Step.WaitingTasks += Phase == TaskPhase::Waiting;
+  Step.DoneTasks += Phase == TaskPhase::Done;
 }
 
 void PoolTables::place(TaskRecord &Task, VmRecord &Vm, std::int64_t Run,
                        TimePoint Now) {
   Task.Run = Run;
   Task.PlacedAt = Now;
-  Task.MovedAt = Now;
+  Task.ProgressedAt = Now;
   Task.ConfirmedAt.reset();
   Task.ProgressPercent = -1;
-  Task.Pace = 100;
-  adopt(Task, Vm, TaskPhase::Placed);
-  changed(*Task.Step->Occurrence->Job);
+  Task.SpeedPercent = 100;
+  assign(Task, Vm, TaskPhase::Placed);
+  markChanged(*Task.Step->Occurrence->Job);
 }
 
-void PoolTables::adopt(TaskRecord &Task, VmRecord &Vm, TaskPhase Phase) {
+void PoolTables::assign(TaskRecord &Task, VmRecord &Vm, TaskPhase Phase) {
   setPhase(Task, Phase);
   Task.Vm = &Vm;
   Vm.Tasks.insert(&Task);
   Vm.Used += Task.Step->Plan->reservedCapacity();
-  ++Task.Step->OnVms;
+  ++Task.Step->TasksOnVms;
 }
 
-static void giveRoomBack(TaskRecord &Task) {
+static void releaseCapacity(TaskRecord &Task) {
   if (Task.Vm == nullptr)
     return;
   Task.Vm->Used -= Task.Step->Plan->reservedCapacity();
   Task.Vm->Tasks.erase(&Task);
   Task.Vm = nullptr;
-  --Task.Step->OnVms;
+  --Task.Step->TasksOnVms;
 }
 
 void PoolTables::release(TaskRecord &Task) {
-  giveRoomBack(Task);
+  releaseCapacity(Task);
   if (Task.Phase != TaskPhase::Done)
     setPhase(Task, TaskPhase::Waiting);
-  changed(*Task.Step->Occurrence->Job);
+  markChanged(*Task.Step->Occurrence->Job);
 }
 
 void PoolTables::finish(TaskRecord &Task) {
-  giveRoomBack(Task);
+  releaseCapacity(Task);
   setPhase(Task, TaskPhase::Done);
-  changed(*Task.Step->Occurrence->Job);
+  markChanged(*Task.Step->Occurrence->Job);
 }
 
 StepName nameOf(const StepRecord &Step) {
@@ -140,23 +140,23 @@
   const std::vector<StepRecord> &Steps = Step.Occurrence->Steps;
   return std::all_of(
       Step.Plan->DependsOn.begin(), Step.Plan->DependsOn.end(),
-      [&Steps](int Before) {
-        return Steps[static_cast<std::size_t>(Before)].complete();
+      [&Steps](int Dependency) {
+        return Steps[static_cast<std::size_t>(Dependency)].isComplete();
       });
 }
 
-milliseconds longestChain(const JobPlan &Plan, const QueueTerms &Terms) {
+milliseconds criticalPath(const JobPlan &Plan, const QueueTerms &Terms) {
   std::vector<milliseconds> Ends(Plan.Steps.size());
   milliseconds Longest{0};
   milliseconds Advice{0};
   if (Terms.Advice)
     Advice = Terms.Advice->DecisionTime +
-             milliseconds(
-                 static_cast<std::int64_t>(Terms.Advice->PerVmMs * AdvisedVms));
+             milliseconds(static_cast<std::int64_t>(Terms.Advice->PerVmMs *
+                                                    ObjectiveAdviceVms));
   for (std::size_t Index = 0; Index < Plan.Steps.size(); ++Index) {
     milliseconds Start{0};
-    for (const int Before : Plan.Steps[Index].DependsOn)
-      Start = std::max(Start, Ends[static_cast<std::size_t>(Before)]);
+    for (const int Dependency : Plan.Steps[Index].DependsOn)
+      Start = std::max(Start, Ends[static_cast<std::size_t>(Dependency)]);
     Ends[Index] = Start + Plan.Steps[Index].Estimate + Advice;
     Longest = std::max(Longest, Ends[Index]);
   }
@@ -171,8 +171,8 @@
   Out.Run = Task.Run;
   Out.Checkpoint = Task.Checkpoint;
   if (Task.Vm != nullptr) {
-    Out.Vm = Task.Vm->Vm.Id;
-    Out.VmIncarnation = Task.Vm->Vm.Incarnation;
+    Out.Vm = Task.Vm->Description.Id;
+    Out.VmIncarnation = Task.Vm->Description.Incarnation;
   }
   return Out;
 }
@@ -180,7 +180,7 @@
 static StepProgress progressOf(const StepRecord &Step) {
   StepProgress Out;
   Out.Step = Step.Number;
-  Out.Done = Step.complete();
+  Out.Done = Step.isComplete();
   Out.GangFailures = Step.GangFailures;
   Out.GangFailedRun = Step.GangFailedRun;
   if (!Out.Done)
--- a/packages/pool/src/PoolTables.h
+++ b/packages/pool/src/PoolTables.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "Records.h"
+#include "PoolRecords.h"
 #include "cuminroad/pool/JobProgress.h"
 #include "cuminroad/pool/PoolScheduler.h"
 
@@ -24,33 +24,33 @@
 
   JobRecord *job(std::string_view Id) const;
   VmRecord *vm(std::string_view Id) const;
-  VmRecord &makeVm(std::string_view Id);
+  VmRecord &findOrCreateVm(std::string_view Id);
   StepRecord *step(const StepName &Name) const;
   TaskRecord *task(const TaskName &Name) const;
   /// Makes the records of an occurrence, all of whose tasks wait.
-  OccurrenceRecord &makeOccurrence(JobRecord &Job, int Number, TimePoint Due);
+  OccurrenceRecord &createOccurrence(JobRecord &Job, int Number, TimePoint Due);
 
   /// A waiting task takes room on a VM under a new run.
   void place(TaskRecord &Task, VmRecord &Vm, std::int64_t Run, TimePoint Now);
   /// A task is known to be, or to have been, on a VM.
-  void adopt(TaskRecord &Task, VmRecord &Vm, TaskPhase Phase);
+  void assign(TaskRecord &Task, VmRecord &Vm, TaskPhase Phase);
   /// The task's run has certainly ended; it gives its room back and waits.
   void release(TaskRecord &Task);
   /// The task is done; gives its room back, if it has any.
   void finish(TaskRecord &Task);
   void setPhase(TaskRecord &Task, TaskPhase Phase);
 
-  void changed(const JobRecord &Job) { Changed.insert(Job.Plan.Id); }
+  void markChanged(const JobRecord &Job) { ChangedJobs.insert(Job.Plan.Id); }
 
   /// Unfinished jobs, and finished ones with runs that have not ended yet.
   JobMap Jobs;
-  std::map<std::string, JobStage, std::less<>> Finished;
+  std::map<std::string, JobStage, std::less<>> FinishedJobs;
   VmMap Vms;
   /// Rises when a VM comes, changes or takes work again.
   std::int64_t VmsVersion = 0;
-  std::set<std::string> Changed;
+  std::set<std::string> ChangedJobs;
   std::vector<PoolCommand> Commands;
-  PoolDiagnostics Notes;
+  PoolDiagnostics Diagnostics;
 };
 
 /// \returns the task's name for messages.
@@ -59,7 +59,7 @@
 /// Whether all steps that \p Step follows are done.
 bool isReady(const StepRecord &Step);
 /// \returns the longest chain of estimated work of \p Plan.
-milliseconds longestChain(const JobPlan &Plan, const QueueTerms &Terms);
+milliseconds criticalPath(const JobPlan &Plan, const QueueTerms &Terms);
 /// What must last of a job.
 JobProgress progressOf(const JobRecord &Job);
 
--- a/packages/pool/src/SchedulingPass.cpp
+++ b/packages/pool/src/SchedulingPass.cpp
@@ -13,7 +13,7 @@
 /// Accelerators are the scarce part of VMs that have them.
 constexpr double AcceleratorWeight = 2.0;
 /// Work that takes longer costs more than a looser fit.
-constexpr double SlownessWeight = 0.7;
+constexpr double SlowdownWeight = 0.7;
 constexpr double RemoteWeight = 3.0;
 /// Fillers disturb serving tasks: a VM with the other kind comes last.
 constexpr double ConflictWeight = 10.0;
@@ -28,7 +28,7 @@
 constexpr double BackfillMargin = 1.3;
 
 int tasksOnVm(const StepRecord &Step, const VmRecord &Vm) {
-  if (Step.OnVms == 0)
+  if (Step.TasksOnVms == 0)
     return 0;
   return static_cast<int>(std::count_if(
       Vm.Tasks.begin(), Vm.Tasks.end(),
@@ -51,21 +51,21 @@
 
 void SchedulingPass::run() {
   for (auto &[Id, Vm] : Tables_.Vms) {
-    Vm->ReservedUntil.reset();
-    if (Vm->takesWork() && (!Vm->inQuarantine(Now_) || Vm->NextProbe <= Now_))
-      Open_.push_back(Vm.get());
+    Vm->ReservationStart.reset();
+    if (Vm->acceptsWork() && (!Vm->inQuarantine(Now_) || Vm->NextProbe <= Now_))
+      AvailableVms_.push_back(Vm.get());
   }
-  for (StepRecord *Step : Queue_.Steps) {
+  for (StepRecord *Step : Waiting_.Steps) {
     Step->Blocked = false;
     Step->ReservedVms.clear();
   }
-  int Blocked = 0;
-  for (StepRecord *Step : Queue_.Steps) {
+  int BlockedSteps = 0;
+  for (StepRecord *Step : Waiting_.Steps) {
     if (!isReady(*Step))
       continue;
     placeStep(*Step);
-    Blocked += Step->Blocked;
-    if (Blocked >= Options_.MaxBlockedSteps)
+    BlockedSteps += Step->Blocked;
+    if (BlockedSteps >= Options_.MaxBlockedSteps)
       return;
   }
 }
@@ -80,101 +80,105 @@
     return;
   }
   reportBlocked(Step);
-  if (Reservations_ < Options_.MaxReservedSteps)
-    reserve(Step);
+  if (ReservationCount_ < Options_.MaxReservedSteps)
+    reserveVms(Step);
 }
 
 void SchedulingPass::reportBlocked(StepRecord &Step) {
   if (!Step.BlockedSince) {
     Step.BlockedSince = Now_;
-    Step.NextReport = FirstBlockedReport;
+    Step.NextBlockedReport = FirstBlockedReport;
   }
   const auto Waited =
       std::chrono::duration_cast<milliseconds>(Now_ - *Step.BlockedSince);
-  if (Waited < Step.NextReport)
+  if (Waited < Step.NextBlockedReport)
     return;
-  Step.NextReport *= 2;
+  Step.NextBlockedReport *= 2;
   BlockedStep Report;
   Report.Step = nameOf(Step);
   Report.Waited = Waited;
-  Report.WaitingTasks = Step.Waiting;
-  const bool Advised = Step.Occurrence->Job->Terms.Advice.has_value();
+  Report.WaitingTasks = Step.WaitingTasks;
+  const bool NeedsAdvice = Step.Occurrence->Job->Terms.Advice.has_value();
   for (const auto &[Id, Vm] : Tables_.Vms) {
-    if (Advised && !Step.AllowedVms.contains(Vm.get()))
+    if (NeedsAdvice && !Step.AllowedVms.contains(Vm.get()))
       continue;
     ++Report.AllowedVms;
-    Report.AvailableVms += Vm->takesWork();
-    Report.UsableVms +=
-        Vm->takesWork() && suits(*Step.Plan, *Vm) && !Vm->inQuarantine(Now_);
-    Report.VmsWithRoom += Step.Plan->reservedCapacity().fitsIn(Vm->free());
+    Report.AvailableVms += Vm->acceptsWork();
+    Report.UsableVms += Vm->acceptsWork() && canHost(*Step.Plan, *Vm) &&
+                        !Vm->inQuarantine(Now_);
+    Report.VmsWithRoom +=
+        Step.Plan->reservedCapacity().fitsIn(Vm->freeCapacity());
   }
-  forEachOpen(Step, [&Report](const VmRecord &) { ++Report.VmsWithTicket; });
-  Tables_.Notes.BlockedSteps.push_back(std::move(Report));
+  forEachAvailableVm(Step,
+                     [&Report](const VmRecord &) { ++Report.VmsWithTicket; });
+  Tables_.Diagnostics.BlockedSteps.push_back(std::move(Report));
 }
 
-const Capacity &SchedulingPass::largestRoom() {
-  if (!LargestKnown_) {
-    Largest_ = Capacity{};
-    for (const VmRecord *Vm : Open_) {
-      const Capacity Free = Vm->free();
-      Largest_.MilliCores = std::max(Largest_.MilliCores, Free.MilliCores);
-      Largest_.MemoryMb = std::max(Largest_.MemoryMb, Free.MemoryMb);
-      Largest_.Accelerators =
-          std::max(Largest_.Accelerators, Free.Accelerators);
+const Capacity &SchedulingPass::largestFreeCapacity() {
+  if (!LargestFreeKnown_) {
+    LargestFree_ = Capacity{};
+    for (const VmRecord *Vm : AvailableVms_) {
+      const Capacity Free = Vm->freeCapacity();
+      LargestFree_.MilliCores =
+          std::max(LargestFree_.MilliCores, Free.MilliCores);
+      LargestFree_.MemoryMb = std::max(LargestFree_.MemoryMb, Free.MemoryMb);
+      LargestFree_.Accelerators =
+          std::max(LargestFree_.Accelerators, Free.Accelerators);
     }
-    LargestKnown_ = true;
+    LargestFreeKnown_ = true;
   }
-  return Largest_;
+  return LargestFree_;
 }
 
 template <typename F>
-void SchedulingPass::forEachOpen(const StepRecord &Step, F Visit) const {
+void SchedulingPass::forEachAvailableVm(const StepRecord &Step, F Visit) const {
   if (!Step.Occurrence->Job->Terms.Advice) {
-    for (VmRecord *Vm : Open_)
+    for (VmRecord *Vm : AvailableVms_)
       Visit(*Vm);
     return;
   }
   for (const auto &[Vm, Ticket] : Step.AllowedVms)
-    if (Ticket.Incarnation == Vm->Vm.Incarnation &&
+    if (Ticket.VmIncarnation == Vm->Description.Incarnation &&
         Ticket.ValidUntil > Now_ + Options_.TicketMargin + Options_.StartDelay)
       Visit(*Vm);
 }
 
-bool SchedulingPass::takes(const StepRecord &Step, const VmRecord &Vm) const {
-  return Step.Plan->reservedCapacity().fitsIn(Vm.free()) &&
+bool SchedulingPass::canPlaceTask(const StepRecord &Step,
+                                  const VmRecord &Vm) const {
+  return Step.Plan->reservedCapacity().fitsIn(Vm.freeCapacity()) &&
          reservationAllows(Step, Vm) &&
          (Step.Plan->MaxPerVm == 0 ||
           tasksOnVm(Step, Vm) < Step.Plan->MaxPerVm);
 }
 
 void SchedulingPass::placeTasks(StepRecord &Step) {
-  if (!Step.Plan->reservedCapacity().fitsIn(largestRoom())) {
+  if (!Step.Plan->reservedCapacity().fitsIn(largestFreeCapacity())) {
     Step.Blocked = true;
     return;
   }
-  std::vector<ScoredVm> Fitting;
-  forEachOpen(Step, [&](VmRecord &Vm) {
-    if (eligible(Step, Vm) && takes(Step, Vm))
-      Fitting.push_back(ScoredVm{score(Step, Vm), &Vm});
+  std::vector<ScoredVm> FittingVms;
+  forEachAvailableVm(Step, [&](VmRecord &Vm) {
+    if (isEligible(Step, Vm) && canPlaceTask(Step, Vm))
+      FittingVms.push_back(ScoredVm{score(Step, Vm), &Vm});
   });
   for (TaskRecord &Task : Step.Tasks) {
-    if (Task.Phase != TaskPhase::Waiting || Task.NotBefore > Now_)
+    if (Task.Phase != TaskPhase::Waiting || Task.NotPlacedBefore > Now_)
       continue;
-    const auto Best =
-        std::min_element(Fitting.begin(), Fitting.end(),
-                         [](const ScoredVm &Left, const ScoredVm &Right) {
-                           return std::tie(Left.Score, Left.Vm->Vm.Id) <
-                                  std::tie(Right.Score, Right.Vm->Vm.Id);
-                         });
-    if (Best == Fitting.end()) {
+    const auto Best = std::min_element(
+        FittingVms.begin(), FittingVms.end(),
+        [](const ScoredVm &Left, const ScoredVm &Right) {
+          return std::tie(Left.Score, Left.Vm->Description.Id) <
+                 std::tie(Right.Score, Right.Vm->Description.Id);
+        });
+    if (Best == FittingVms.end()) {
       Step.Blocked = true;
       return;
     }
-    start(Task, *Best->Vm, Task.Run + 1);
-    if (eligible(Step, *Best->Vm) && takes(Step, *Best->Vm))
+    startRun(Task, *Best->Vm, Task.Run + 1);
+    if (isEligible(Step, *Best->Vm) && canPlaceTask(Step, *Best->Vm))
       Best->Score = score(Step, *Best->Vm);
     else
-      Fitting.erase(Best);
+      FittingVms.erase(Best);
   }
 }
 
@@ -182,61 +186,62 @@
   std::int64_t LastRun = 0;
   for (const TaskRecord &Task : Step.Tasks) {
     // Members of an earlier run may still be there.
-    if (Task.Phase != TaskPhase::Waiting || Task.NotBefore > Now_)
+    if (Task.Phase != TaskPhase::Waiting || Task.NotPlacedBefore > Now_)
       return;
     LastRun = std::max(LastRun, Task.Run);
   }
-  if (!Step.Plan->reservedCapacity().fitsIn(largestRoom())) {
+  if (!Step.Plan->reservedCapacity().fitsIn(largestFreeCapacity())) {
     Step.Blocked = true;
     return;
   }
-  std::vector<VmRecord *> Chosen;
+  std::vector<VmRecord *> ChosenVms;
   bool Placed = false;
   if (Step.Plan->SameRack) {
     std::set<std::string_view> Racks;
     for (const auto &[Id, Vm] : Tables_.Vms)
-      for (const std::string &Label : Vm->Vm.Labels)
+      for (const std::string &Label : Vm->Description.Labels)
         Racks.insert(Label);
     for (const std::string_view Rack : Racks)
       if (!Placed)
-        Placed = spreadGang(Step, Rack, Chosen);
+        Placed = chooseGangVms(Step, Rack, ChosenVms);
   }
-  if (!Placed && !spreadGang(Step, "", Chosen)) {
+  if (!Placed && !chooseGangVms(Step, "", ChosenVms)) {
     Step.Blocked = true;
     return;
   }
   for (std::size_t Index = 0; Index < Step.Tasks.size(); ++Index)
-    start(Step.Tasks[Index], *Chosen[Index], LastRun + 1);
+    startRun(Step.Tasks[Index], *ChosenVms[Index], LastRun + 1);
 }
 
-bool SchedulingPass::spreadGang(StepRecord &Step, std::string_view Rack,
-                                std::vector<VmRecord *> &Chosen) {
-  std::vector<ScoredVm> Usable;
-  forEachOpen(Step, [&](VmRecord &Vm) {
-    if (eligible(Step, Vm) && reservationAllows(Step, Vm) &&
-        (Rack.empty() || Vm.Vm.hasLabel(Rack)))
-      Usable.push_back(ScoredVm{score(Step, Vm), &Vm});
+bool SchedulingPass::chooseGangVms(StepRecord &Step, std::string_view Rack,
+                                   std::vector<VmRecord *> &ChosenVms) {
+  std::vector<ScoredVm> UsableVms;
+  forEachAvailableVm(Step, [&](VmRecord &Vm) {
+    if (isEligible(Step, Vm) && reservationAllows(Step, Vm) &&
+        (Rack.empty() || Vm.Description.hasLabel(Rack)))
+      UsableVms.push_back(ScoredVm{score(Step, Vm), &Vm});
   });
-  std::sort(Usable.begin(), Usable.end(),
+  std::sort(UsableVms.begin(), UsableVms.end(),
             [](const ScoredVm &Left, const ScoredVm &Right) {
-              return std::tie(Left.Score, Left.Vm->Vm.Id) <
-                     std::tie(Right.Score, Right.Vm->Vm.Id);
+              return std::tie(Left.Score, Left.Vm->Description.Id) <
+                     std::tie(Right.Score, Right.Vm->Description.Id);
             });
-  Chosen.clear();
-  const std::size_t Wanted = Step.Tasks.size();
-  for (const auto &[Score, Vm] : Usable) {
-    int Room = cuminroad::countFits(Vm->free(), Step.Plan->reservedCapacity());
+  ChosenVms.clear();
+  const std::size_t WantedTasks = Step.Tasks.size();
+  for (const auto &[Score, Vm] : UsableVms) {
+    int FittingTasks =
+        countFits(Vm->freeCapacity(), Step.Plan->reservedCapacity());
     if (Step.Plan->MaxPerVm > 0)
-      Room = std::min(Room, Step.Plan->MaxPerVm);
-    while (Room-- > 0 && Chosen.size() < Wanted)
-      Chosen.push_back(Vm);
+      FittingTasks = std::min(FittingTasks, Step.Plan->MaxPerVm);
+    while (FittingTasks-- > 0 && ChosenVms.size() < WantedTasks)
+      ChosenVms.push_back(Vm);
   }
-  return Chosen.size() == Wanted;
+  return ChosenVms.size() == WantedTasks;
 }
 
-bool SchedulingPass::eligible(const StepRecord &Step,
-                              const VmRecord &Vm) const {
-  return Vm.takesWork() && suits(*Step.Plan, Vm) &&
+bool SchedulingPass::isEligible(const StepRecord &Step,
+                                const VmRecord &Vm) const {
+  return Vm.acceptsWork() && canHost(*Step.Plan, Vm) &&
          (!Vm.inQuarantine(Now_) || mayProbe(Step, Vm));
 }
 
@@ -258,29 +263,29 @@
 
 bool SchedulingPass::reservationAllows(const StepRecord &Step,
                                        const VmRecord &Vm) const {
-  if (!Vm.ReservedUntil)
+  if (!Vm.ReservationStart)
     return true;
-  if (Step.Plan->reservedCapacity().fitsIn(Vm.Spare))
+  if (Step.Plan->reservedCapacity().fitsIn(Vm.BackfillRoom))
     return true;
   if (Step.Plan->LongRunning)
     return false;
   const auto Length = std::chrono::duration_cast<milliseconds>(
-      Step.Plan->Estimate * BackfillMargin * Vm.Slowness);
-  return Now_ + Length <= *Vm.ReservedUntil;
+      Step.Plan->Estimate * BackfillMargin * Vm.Slowdown);
+  return Now_ + Length <= *Vm.ReservationStart;
 }
 
 double SchedulingPass::score(const StepRecord &Step, const VmRecord &Vm) const {
   const StepPlan &Plan = *Step.Plan;
-  const Capacity Left = Vm.free() - Plan.reservedCapacity();
+  const Capacity Left = Vm.freeCapacity() - Plan.reservedCapacity();
   const auto Share = [](std::int64_t Part, std::int64_t Whole) {
     return Whole > 0 ? static_cast<double>(Part) / static_cast<double>(Whole)
                      : 0.0;
   };
-  double Out =
-      Share(Left.MilliCores, Vm.Vm.Total.MilliCores) +
-      AcceleratorWeight * Share(Left.Accelerators, Vm.Vm.Total.Accelerators) +
-      SlownessWeight * (Vm.Slowness - 1.0);
-  if (!Plan.DataRack.empty() && !Vm.Vm.hasLabel(Plan.DataRack))
+  double Out = Share(Left.MilliCores, Vm.Description.Total.MilliCores) +
+               AcceleratorWeight *
+                   Share(Left.Accelerators, Vm.Description.Total.Accelerators) +
+               SlowdownWeight * (Vm.Slowdown - 1.0);
+  if (!Plan.DataRack.empty() && !Vm.Description.hasLabel(Plan.DataRack))
     Out += RemoteWeight * (Options_.RemoteFactor - 1.0);
   if (conflicts(Step, Vm))
     Out += ConflictWeight;
@@ -291,19 +296,21 @@
   return Out;
 }
 
-void SchedulingPass::start(TaskRecord &Task, VmRecord &Vm, std::int64_t Run) {
+void SchedulingPass::startRun(TaskRecord &Task, VmRecord &Vm,
+                              std::int64_t Run) {
   StepRecord &Step = *Task.Step;
-  if (Vm.ReservedUntil)
-    Vm.Spare -= Step.Plan->reservedCapacity();
+  if (Vm.ReservationStart)
+    Vm.BackfillRoom -= Step.Plan->reservedCapacity();
   if (Vm.inQuarantine(Now_))
     Vm.NextProbe = Now_ + Options_.MinProbeInterval;
   Tables_.place(Task, Vm, Run, Now_);
-  LargestKnown_ = false;
+  LargestFreeKnown_ = false;
   JobRecord &Job = *Step.Occurrence->Job;
   if (Job.Stage == JobStage::Queued)
     Job.Stage = JobStage::Running;
   Job.Started = true;
-  StartRun Command{Vm.Vm.Id, TaskRun{nameOf(Task), Run}, Task.Checkpoint, ""};
+  StartRun Command{Vm.Description.Id, TaskRun{nameOf(Task), Run},
+                   Task.Checkpoint, ""};
   if (const auto Ticket = Step.AllowedVms.find(&Vm);
       Ticket != Step.AllowedVms.end()) {
     Command.Ticket = Ticket->second.Ticket;
@@ -312,63 +319,65 @@
   Tables_.Commands.push_back(std::move(Command));
 }
 
-int SchedulingPass::countFits(const StepRecord &Step, const VmRecord &Vm,
-                              TimePoint When) const {
-  int Out = cuminroad::countFits(freeAt(Vm, When, Now_),
-                                 Step.Plan->reservedCapacity());
+int SchedulingPass::countFitsAt(const StepRecord &Step, const VmRecord &Vm,
+                                TimePoint When) const {
+  int Out =
+      countFits(freeCapacityAt(Vm, When, Now_), Step.Plan->reservedCapacity());
   if (Step.Plan->MaxPerVm > 0)
     Out = std::min(Out, Step.Plan->MaxPerVm);
   return Out;
 }
 
-void SchedulingPass::reserve(StepRecord &Step) {
-  const bool Advised = Step.Occurrence->Job->Terms.Advice.has_value();
-  std::vector<VmRecord *> Usable;
+void SchedulingPass::reserveVms(StepRecord &Step) {
+  const bool NeedsAdvice = Step.Occurrence->Job->Terms.Advice.has_value();
+  std::vector<VmRecord *> UsableVms;
   std::vector<TimePoint> Times{Now_};
-  for (VmRecord *Vm : Open_) {
-    if (!eligible(Step, *Vm) || Vm->ReservedUntil ||
-        (Advised && !Step.AllowedVms.contains(Vm)))
+  for (VmRecord *Vm : AvailableVms_) {
+    if (!isEligible(Step, *Vm) || Vm->ReservationStart ||
+        (NeedsAdvice && !Step.AllowedVms.contains(Vm)))
       continue;
-    Usable.push_back(Vm);
+    UsableVms.push_back(Vm);
     for (const TaskRecord *Task : Vm->Tasks)
       if (const TimePoint End = expectedEnd(*Task, Now_);
           End != TimePoint::max())
         Times.push_back(End);
   }
-  const int Wanted = Step.Plan->Gang ? static_cast<int>(Step.Tasks.size()) : 1;
+  const int WantedTasks =
+      Step.Plan->Gang ? static_cast<int>(Step.Tasks.size()) : 1;
   const auto Enough = [&](TimePoint When) {
-    int Sum = 0;
-    for (const VmRecord *Vm : Usable)
-      Sum += std::min(countFits(Step, *Vm, When), Wanted);
-    return Sum >= Wanted;
+    int FittingTasks = 0;
+    for (const VmRecord *Vm : UsableVms)
+      FittingTasks += std::min(countFitsAt(Step, *Vm, When), WantedTasks);
+    return FittingTasks >= WantedTasks;
   };
   std::sort(Times.begin(), Times.end());
-  const auto At =
+  const auto EarliestStart =
       std::partition_point(Times.begin(), Times.end(),
                            [&Enough](TimePoint When) { return !Enough(When); });
-  if (At == Times.end())
+  if (EarliestStart == Times.end())
     return;
-  ++Reservations_;
-  std::vector<std::pair<int, VmRecord *>> ByRoom;
-  ByRoom.reserve(Usable.size());
-  for (VmRecord *Vm : Usable)
-    ByRoom.emplace_back(-countFits(Step, *Vm, *At), Vm);
-  std::stable_sort(ByRoom.begin(), ByRoom.end(),
+  ++ReservationCount_;
+  std::vector<std::pair<int, VmRecord *>> VmsByRoom;
+  VmsByRoom.reserve(UsableVms.size());
+  for (VmRecord *Vm : UsableVms)
+    VmsByRoom.emplace_back(-countFitsAt(Step, *Vm, *EarliestStart), Vm);
+  std::stable_sort(VmsByRoom.begin(), VmsByRoom.end(),
                    [](const auto &Left, const auto &Right) {
                      return Left.first < Right.first;
                    });
-  int Open = Wanted;
-  Step.ReservedAt = *At;
-  for (const auto &[Less, Vm] : ByRoom) {
-    const int Here = std::min(-Less, Open);
-    if (Here <= 0)
+  int RemainingTasks = WantedTasks;
+  Step.ReservationStart = *EarliestStart;
+  for (const auto &[NegatedRoom, Vm] : VmsByRoom) {
+    const int TasksHere = std::min(-NegatedRoom, RemainingTasks);
+    if (TasksHere <= 0)
       return;
-    Vm->ReservedUntil = *At;
-    Vm->Spare = freeAt(*Vm, *At, Now_) - Step.Plan->reservedCapacity() * Here;
+    Vm->ReservationStart = *EarliestStart;
+    Vm->BackfillRoom = freeCapacityAt(*Vm, *EarliestStart, Now_) -
+                       Step.Plan->reservedCapacity() * TasksHere;
     // What fits beside the step must also fit now.
-    Vm->Spare = smaller(Vm->Spare, Vm->free());
+    Vm->BackfillRoom = smaller(Vm->BackfillRoom, Vm->freeCapacity());
     Step.ReservedVms.push_back(Vm);
-    Open -= Here;
+    RemainingTasks -= TasksHere;
   }
 }
 
--- a/packages/pool/src/SchedulingPass.h
+++ b/packages/pool/src/SchedulingPass.h
@@ -12,9 +12,9 @@
 /// reserves VMs for the first ones that do not.
 class SchedulingPass {
 public:
-  SchedulingPass(PoolTables &Tables, const WaitingSteps &Queue,
+  SchedulingPass(PoolTables &Tables, const WaitingSteps &Waiting,
                  const PoolOptions &Options, TimePoint Now)
-      : Tables_(Tables), Queue_(Queue), Options_(Options), Now_(Now) {}
+      : Tables_(Tables), Waiting_(Waiting), Options_(Options), Now_(Now) {}
 
   void run();
 
@@ -28,37 +28,38 @@
   void placeStep(StepRecord &Step);
   void placeTasks(StepRecord &Step);
   void placeGang(StepRecord &Step);
-  bool spreadGang(StepRecord &Step, std::string_view Rack,
-                  std::vector<VmRecord *> &Chosen);
+  bool chooseGangVms(StepRecord &Step, std::string_view Rack,
+                     std::vector<VmRecord *> &ChosenVms);
   /// The most room in each part that any open VM has.
-  const Capacity &largestRoom();
+  const Capacity &largestFreeCapacity();
   /// Visits the open VMs that may run the step and, where it needs one, have a
   /// ticket that holds long enough.
-  template <typename F> void forEachOpen(const StepRecord &Step, F Visit) const;
+  template <typename F>
+  void forEachAvailableVm(const StepRecord &Step, F Visit) const;
   /// Whether one more task of the step may go to the VM now.
-  bool takes(const StepRecord &Step, const VmRecord &Vm) const;
+  bool canPlaceTask(const StepRecord &Step, const VmRecord &Vm) const;
   /// Whether the VM may run tasks of the step at all, room aside.
-  bool eligible(const StepRecord &Step, const VmRecord &Vm) const;
+  bool isEligible(const StepRecord &Step, const VmRecord &Vm) const;
   /// Whether work of this length may use a reserved VM.
   /// Whether the step may try the VM though it is in quarantine.
   bool mayProbe(const StepRecord &Step, const VmRecord &Vm) const;
   bool reservationAllows(const StepRecord &Step, const VmRecord &Vm) const;
   double score(const StepRecord &Step, const VmRecord &Vm) const;
-  void start(TaskRecord &Task, VmRecord &Vm, std::int64_t Run);
-  void reserve(StepRecord &Step);
+  void startRun(TaskRecord &Task, VmRecord &Vm, std::int64_t Run);
+  void reserveVms(StepRecord &Step);
   void reportBlocked(StepRecord &Step);
-  int countFits(const StepRecord &Step, const VmRecord &Vm,
-                TimePoint When) const;
+  int countFitsAt(const StepRecord &Step, const VmRecord &Vm,
+                  TimePoint When) const;
 
   PoolTables &Tables_;
-  const WaitingSteps &Queue_;
+  const WaitingSteps &Waiting_;
   const PoolOptions &Options_;
   TimePoint Now_;
   /// VMs that take work.
-  std::vector<VmRecord *> Open_;
-  Capacity Largest_;
-  bool LargestKnown_ = false;
-  int Reservations_ = 0;
+  std::vector<VmRecord *> AvailableVms_;
+  Capacity LargestFree_;
+  bool LargestFreeKnown_ = false;
+  int ReservationCount_ = 0;
 };
 
 } // namespace cuminroad
--- a/packages/pool/src/WaitingSteps.cpp
+++ b/packages/pool/src/WaitingSteps.cpp
@@ -11,15 +11,15 @@
 /// The order in which steps get room and tickets: less goes first.
 struct Urgency {
   /// So late that it is of little value to its caller.
-  bool Hopeless = false;
+  bool VeryLate = false;
   int Priority = 0;
   /// Behind its objective: those that can still meet theirs go first.
   bool Late = false;
   TimePoint Deadline{};
 
   friend bool operator<(const Urgency &Left, const Urgency &Right) {
-    return std::tie(Left.Hopeless, Left.Priority, Left.Late, Left.Deadline) <
-           std::tie(Right.Hopeless, Right.Priority, Right.Late, Right.Deadline);
+    return std::tie(Left.VeryLate, Left.Priority, Left.Late, Left.Deadline) <
+           std::tie(Right.VeryLate, Right.Priority, Right.Late, Right.Deadline);
   }
 };
 
@@ -35,7 +35,7 @@
   if (Job.Plan.isLongRunning())
     return Out;
   Out.Late = Now > Out.Deadline;
-  Out.Hopeless =
+  Out.VeryLate =
       Now > Occurrence.Due + milliseconds(static_cast<std::int64_t>(
                                  Options.VeryLateFactor *
                                  static_cast<double>(Objective.count())));
@@ -44,28 +44,28 @@
 
 } // namespace
 
-WaitingSteps gatherWaiting(const PoolTables &Tables, const PoolOptions &Options,
-                           TimePoint Now) {
+WaitingSteps collectWaitingSteps(const PoolTables &Tables,
+                                 const PoolOptions &Options, TimePoint Now) {
   WaitingSteps Out;
-  std::vector<std::pair<Urgency, StepRecord *>> Found;
+  std::vector<std::pair<Urgency, StepRecord *>> Entries;
   for (const auto &[Id, Job] : Tables.Jobs) {
     if (isFinal(Job->Stage))
       continue;
     for (const auto &[Number, Occurrence] : Job->Occurrences) {
-      const Urgency Order = urgencyOf(*Occurrence, Options, Now);
+      const Urgency StepUrgency = urgencyOf(*Occurrence, Options, Now);
       for (StepRecord &Step : Occurrence->Steps) {
-        Out.Asking += Job->Terms.Advice && Step.Asking;
-        if (Step.Waiting > 0)
-          Found.emplace_back(Order, &Step);
+        Out.PendingAdvice += Job->Terms.Advice && Step.AdvicePending;
+        if (Step.WaitingTasks > 0)
+          Entries.emplace_back(StepUrgency, &Step);
       }
     }
   }
-  std::stable_sort(Found.begin(), Found.end(),
+  std::stable_sort(Entries.begin(), Entries.end(),
                    [](const auto &Left, const auto &Right) {
                      return Left.first < Right.first;
                    });
-  Out.Steps.reserve(Found.size());
-  for (const auto &[Order, Step] : Found)
+  Out.Steps.reserve(Entries.size());
+  for (const auto &[StepUrgency, Step] : Entries)
     Out.Steps.push_back(Step);
   return Out;
 }
--- a/packages/pool/src/WaitingSteps.h
+++ b/packages/pool/src/WaitingSteps.h
@@ -13,11 +13,11 @@
 struct WaitingSteps {
   std::vector<StepRecord *> Steps;
   /// Steps, also of those that have nothing to place, with a question open.
-  int Asking = 0;
+  int PendingAdvice = 0;
 };
 
-WaitingSteps gatherWaiting(const PoolTables &Tables, const PoolOptions &Options,
-                           TimePoint Now);
+WaitingSteps collectWaitingSteps(const PoolTables &Tables,
+                                 const PoolOptions &Options, TimePoint Now);
 
 } // namespace cuminroad
 
