--- a/packages/pool/tests/GangRunsTest.cpp
+++ b/packages/pool/tests/GangRunsTest.cpp
@@ -2,74 +2,74 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "SchedulerTrial.h"
+#include "SchedulerFixture.h"
 
 using namespace cuminroad;
 
 namespace {
 
 /// A gang of two, and two VMs with room for one member each.
-struct GangTrial : SchedulerTrial {
-  GangTrial() {
+struct GangFixture : SchedulerFixture {
+  GangFixture() {
     Gang.Gang = true;
-    addVm(makeVm("a", Small));
-    addVm(makeVm("b", Small));
-    Scheduler->addJob(makeJob("g", {Gang}), makeQueue(), Time.now());
+    addVm(makeVm("a", SmallSize));
+    addVm(makeVm("b", SmallSize));
+    Scheduler->addJob(makeJob("g", {Gang}), makeQueue(), MonotonicClock.now());
   }
   std::vector<StartRun> startGang() {
-    pass();
+    runPass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 2);
     return Starts;
   }
 
-  StepPlan Gang = makeStep(2, Small);
+  StepPlan Gang = makeStep(2, SmallSize);
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(gangThatFailsOnAllItsVmsHasFailedOnce, GangTrial) {
+BOOST_FIXTURE_TEST_CASE(gangFailureOnAllVmsCountsOnce, GangFixture) {
   for (int Round = 0; Round < 2; ++Round) {
     BOOST_CHECK(Scheduler->stage("g") != JobStage::Failed);
     const auto Members = startGang();
     for (const StartRun &Start : Members)
-      end(Start, RunOutcome::Failed);
-    Time.advance(milliseconds(500));
+      endRun(Start, RunOutcome::Failed);
+    MonotonicClock.advance(milliseconds(500));
   }
   BOOST_CHECK(Scheduler->stage("g") == JobStage::Failed);
 }
 
-BOOST_FIXTURE_TEST_CASE(gangRunThatEndedBeforeItWasGivenUpCounts, GangTrial) {
+BOOST_FIXTURE_TEST_CASE(completionOfAnAbandonedGangRunCounts, GangFixture) {
   const auto First = startGang();
   Scheduler->vmEmptied("a");
   Scheduler->vmEmptied("b");
-  report("a", {});
-  report("b", {});
+  reportRuns("a", {});
+  reportRuns("b", {});
   startGang();
-  end(First[0], RunOutcome::Done);
-  pass();
+  endRun(First[0], RunOutcome::Done);
+  runPass();
   BOOST_CHECK_EQUAL(Stops.size(), 2);
   BOOST_CHECK(Scheduler->stage("g") == JobStage::Completed);
 }
 
-BOOST_FIXTURE_TEST_CASE(gangCountsAFailureInWhateverOrderItsMembersEnd,
-                        GangTrial) {
+BOOST_FIXTURE_TEST_CASE(gangFailureCountsInAnyOrderOfMemberEnds, GangFixture) {
   for (int Round = 0; Round < 2; ++Round) {
     const auto Members = startGang();
-    end(Members[0], RunOutcome::GangBroken);
-    end(Members[1], RunOutcome::Failed);
-    Time.advance(milliseconds(500));
+    endRun(Members[0], RunOutcome::GangBroken);
+    endRun(Members[1], RunOutcome::Failed);
+    MonotonicClock.advance(milliseconds(500));
   }
   BOOST_CHECK(Scheduler->stage("g") == JobStage::Failed);
 }
 
-BOOST_FIXTURE_TEST_CASE(laterOwnerKnowsWhichRunOfAGangHasFailed, GangTrial) {
+BOOST_FIXTURE_TEST_CASE(failedGangRunIsKnownAfterOwnerChange, GangFixture) {
   startGang();
-  end(Starts[0], RunOutcome::Failed);
-  const auto Known = decodeProgress(encodeProgress(Scheduler->progress("g")));
-  BOOST_REQUIRE(Known);
-  SchedulerTrial Next;
-  Next.Scheduler->restoreJob(makeJob("g", {Gang}), makeQueue(), Next.Time.now(),
-                             *Known);
-  Next.end(Starts[1], RunOutcome::Failed);
-  BOOST_CHECK(Next.Scheduler->stage("g") != JobStage::Failed);
+  endRun(Starts[0], RunOutcome::Failed);
+  const auto Restored =
+      decodeProgress(encodeProgress(Scheduler->progress("g")));
+  BOOST_REQUIRE(Restored);
+  SchedulerFixture NextOwner;
+  NextOwner.Scheduler->restoreJob(makeJob("g", {Gang}), makeQueue(),
+                                  NextOwner.MonotonicClock.now(), *Restored);
+  NextOwner.endRun(Starts[1], RunOutcome::Failed);
+  BOOST_CHECK(NextOwner.Scheduler->stage("g") != JobStage::Failed);
 }
--- a/packages/pool/tests/QuarantineTest.cpp
+++ b/packages/pool/tests/QuarantineTest.cpp
@@ -4,41 +4,41 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "SchedulerTrial.h"
+#include "SchedulerFixture.h"
 
 using namespace cuminroad;
 
 namespace {
 
-struct QuarantineTrial : SchedulerTrial {
-  QuarantineTrial() {
+struct QuarantineFixture : SchedulerFixture {
+  QuarantineFixture() {
     Queue.MaxAttempts = 100;
     Queue.Advice = AdviceTerms{milliseconds(100), 1.0, milliseconds(2000)};
   }
   /// The VMs added so far refuse what they are sent until their quarantine is
   /// long.
-  void quarantineAll(int Vms, Capacity Size) {
+  void quarantineVms(int Vms, Capacity Size) {
     Scheduler->addJob(makeJob("bad", {makeStep(Vms, Size)}), makeQueue(),
-                      Time.now());
+                      MonotonicClock.now());
     for (int Round = 0; Round < 40; ++Round) {
-      pass();
+      runPass();
       for (const StartRun &Start : Starts)
         Scheduler->startAnswered(Start.Vm, Start.Run, StartOutcome::Refused);
-      Time.advance(Starts.empty() ? milliseconds(1000)
-                                  : Options.RefusedStartDelay);
+      MonotonicClock.advance(Starts.empty() ? milliseconds(1000)
+                                            : Options.RefusedStartDelay);
     }
     Scheduler->cancelJob("bad");
-    Time.advance(Options.MinProbeInterval);
+    MonotonicClock.advance(Options.MinProbeInterval);
   }
   /// Passes until the time is over, and how many starts they made.
-  int startsWithin(milliseconds Span, StartOutcome Answer) {
+  int countStartsWithin(milliseconds Span, StartOutcome Answer) {
     int Out = 0;
-    for (milliseconds Past{0}; Past < Span; Past += Step) {
-      pass();
+    for (milliseconds Elapsed{0}; Elapsed < Span; Elapsed += Step) {
+      runPass();
       for (const StartRun &Start : Starts)
         Scheduler->startAnswered(Start.Vm, Start.Run, Answer);
       Out += static_cast<int>(Starts.size());
-      Time.advance(Step);
+      MonotonicClock.advance(Step);
     }
     return Out;
   }
@@ -49,137 +49,143 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(badVmGetsNothingForAWhile, SchedulerTrial) {
+BOOST_FIXTURE_TEST_CASE(failingVmIsQuarantined, SchedulerFixture) {
   // A VM that fails all that it starts would draw all work to itself.
-  addVm(makeVm("a", Small));
+  addVm(makeVm("a", SmallSize));
   QueueTerms Queue = makeQueue();
   Queue.MaxAttempts = 100;
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), Queue, Time.now());
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), Queue,
+                    MonotonicClock.now());
   for (int Round = 0; Round < 3; ++Round) {
-    pass();
+    runPass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-    end(Starts[0], RunOutcome::Failed);
+    endRun(Starts[0], RunOutcome::Failed);
   }
-  pass();
+  runPass();
   BOOST_CHECK(Starts.empty());
   const PoolDiagnostics Notes = Scheduler->takeDiagnostics();
   BOOST_REQUIRE_EQUAL(Notes.Quarantines.size(), 1);
   BOOST_CHECK_EQUAL(Notes.Quarantines[0].Vm, "a");
   BOOST_CHECK(Notes.Quarantines[0].Duration == Options.QuarantineMin);
-  Time.advance(Options.QuarantineMin);
-  pass();
+  MonotonicClock.advance(Options.QuarantineMin);
+  runPass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(failuresOfOneMomentCountOnce, SchedulerTrial) {
+BOOST_FIXTURE_TEST_CASE(simultaneousFailuresCountOnce, SchedulerFixture) {
   // A VM that hangs fails all it runs at once; that is one trouble, not many.
-  addVm(makeVm("a", Big));
+  addVm(makeVm("a", BigSize));
   QueueTerms Queue = makeQueue();
   Queue.MaxAttempts = 100;
   Scheduler->addJob(makeJob("j", {makeStep(40, {100, 10, 0})}), Queue,
-                    Time.now());
-  pass();
+                    MonotonicClock.now());
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 40);
   const auto First = Starts;
-  Time.advance(milliseconds(100));
+  MonotonicClock.advance(milliseconds(100));
   for (const StartRun &Start : First)
-    end(Start, RunOutcome::Failed);
-  Time.advance(Options.QuarantineMin);
-  pass();
+    endRun(Start, RunOutcome::Failed);
+  MonotonicClock.advance(Options.QuarantineMin);
+  runPass();
   BOOST_CHECK_EQUAL(Starts.size(), 40);
 }
 
-BOOST_FIXTURE_TEST_CASE(probeThatEndsWellEndsTheQuarantine, QuarantineTrial) {
-  addVm(makeVm("a", Big));
-  quarantineAll(1, Big);
-  Scheduler->addJob(makeJob("j", {makeStep(4, Small)}), makeQueue(),
-                    Time.now());
-  pass();
-  Time.advance(Options.ProbeAfter);
-  pass();
+BOOST_FIXTURE_TEST_CASE(successfulProbeEndsTheQuarantine, QuarantineFixture) {
+  addVm(makeVm("a", BigSize));
+  quarantineVms(1, BigSize);
+  Scheduler->addJob(makeJob("j", {makeStep(4, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
+  MonotonicClock.advance(Options.ProbeAfter);
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-  accept(Starts[0]);
-  end(Starts[0], RunOutcome::Done);
-  pass();
+  acceptStart(Starts[0]);
+  endRun(Starts[0], RunOutcome::Done);
+  runPass();
   BOOST_CHECK_EQUAL(Starts.size(), 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(blockedStepProbesABadVm, QuarantineTrial) {
+BOOST_FIXTURE_TEST_CASE(blockedStepProbesAQuarantinedVm, QuarantineFixture) {
   // The VM may be well long before its quarantine ends.
-  addVm(makeVm("a", Big));
-  quarantineAll(1, Big);
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
+  addVm(makeVm("a", BigSize));
+  quarantineVms(1, BigSize);
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
   BOOST_CHECK_EQUAL(
-      startsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 1);
+      countStartsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(badVmIsProbedRarely, QuarantineTrial) {
-  addVm(makeVm("a", Big));
-  quarantineAll(1, Big);
+BOOST_FIXTURE_TEST_CASE(probesOfAQuarantinedVmAreLimited, QuarantineFixture) {
+  addVm(makeVm("a", BigSize));
+  quarantineVms(1, BigSize);
   QueueTerms Plain = makeQueue();
   Plain.MaxAttempts = 100;
-  Scheduler->addJob(makeJob("j", {makeStep(4, Small)}), Plain, Time.now());
+  Scheduler->addJob(makeJob("j", {makeStep(4, SmallSize)}), Plain,
+                    MonotonicClock.now());
   const milliseconds Span{10000};
-  const int Probes = startsWithin(Span, StartOutcome::Refused);
+  const int Probes = countStartsWithin(Span, StartOutcome::Refused);
   BOOST_CHECK_GE(Probes, 3);
   BOOST_CHECK_LE(Probes, 1 + Span / Options.MinProbeInterval);
 }
 
-BOOST_FIXTURE_TEST_CASE(goodVmIsUsedBeforeABadOneIsProbed, QuarantineTrial) {
-  addVm(makeVm("a", Big));
-  quarantineAll(1, Big);
-  addVm(makeVm("b", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(4, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+BOOST_FIXTURE_TEST_CASE(healthyVmIsUsedBeforeAQuarantinedOne,
+                        QuarantineFixture) {
+  addVm(makeVm("a", BigSize));
+  quarantineVms(1, BigSize);
+  addVm(makeVm("b", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(4, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 4);
   for (const StartRun &Start : Starts)
     BOOST_CHECK_EQUAL(Start.Vm, "b");
 }
 
-BOOST_FIXTURE_TEST_CASE(lastAttemptIsRiskedLater, QuarantineTrial) {
+BOOST_FIXTURE_TEST_CASE(lastAttemptProbesLater, QuarantineFixture) {
   // Each failed run is one attempt less; the last one ends the job.
-  addVm(makeVm("a", Big));
-  quarantineAll(1, Big);
+  addVm(makeVm("a", BigSize));
+  quarantineVms(1, BigSize);
   QueueTerms Plain = makeQueue();
   Plain.MaxAttempts = 1;
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), Plain, Time.now());
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), Plain,
+                    MonotonicClock.now());
   BOOST_CHECK_EQUAL(
-      startsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 0);
+      countStartsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 0);
   BOOST_CHECK_EQUAL(
-      startsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 1);
+      countStartsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(gangProbesBadVmsTogether, QuarantineTrial) {
-  addVm(makeVm("a", Small));
-  quarantineAll(1, Small);
-  addVm(makeVm("b", Small));
-  StepPlan Gang = makeStep(2, Small);
+BOOST_FIXTURE_TEST_CASE(gangMayProbeAQuarantinedVm, QuarantineFixture) {
+  addVm(makeVm("a", SmallSize));
+  quarantineVms(1, SmallSize);
+  addVm(makeVm("b", SmallSize));
+  StepPlan Gang = makeStep(2, SmallSize);
   Gang.Gang = true;
-  Scheduler->addJob(makeJob("g", {Gang}), makeQueue(), Time.now());
+  Scheduler->addJob(makeJob("g", {Gang}), makeQueue(), MonotonicClock.now());
   BOOST_CHECK_EQUAL(
-      startsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 2);
+      countStartsWithin(Options.ProbeAfter + Step, StartOutcome::Accepted), 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(ticketsOfGoodVmsAreRenewedFirst, QuarantineTrial) {
+BOOST_FIXTURE_TEST_CASE(ticketsOfHealthyVmsAreRenewedFirst, QuarantineFixture) {
   // Nothing runs on bad VMs: they would always have the most room.
   for (int Number = 0; Number < Options.MaxRenewedVms; ++Number)
-    addVm(makeVm("bad" + std::to_string(Number), Big));
-  quarantineAll(Options.MaxRenewedVms, Big);
-  addVm(makeVm("good", Small));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), Queue, Time.now());
-  pass();
-  BOOST_REQUIRE_EQUAL(Asks.size(), 1);
-  std::vector<AdviceTicket> Allowed;
-  for (const std::string &Vm : Asks[0].Vms)
-    Allowed.push_back({Vm, "t"});
-  BOOST_REQUIRE_EQUAL(Allowed.size(), Options.MaxRenewedVms + 1);
+    addVm(makeVm("bad" + std::to_string(Number), BigSize));
+  quarantineVms(Options.MaxRenewedVms, BigSize);
+  addVm(makeVm("good", SmallSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), Queue,
+                    MonotonicClock.now());
+  runPass();
+  BOOST_REQUIRE_EQUAL(AdviceRequests.size(), 1);
+  std::vector<AdviceTicket> Tickets;
+  for (const std::string &Vm : AdviceRequests[0].Vms)
+    Tickets.push_back({Vm, "t"});
+  BOOST_REQUIRE_EQUAL(Tickets.size(), Options.MaxRenewedVms + 1);
   // All tickets expire on the way; the good VM's must be renewed.
-  Scheduler->adviceReceived(Asks[0].Step, Asks[0].Vms, Allowed,
-                            Time.now() + milliseconds(10));
-  pass();
-  BOOST_REQUIRE_EQUAL(Asks.size(), 1);
-  BOOST_CHECK(std::find(Asks[0].Vms.begin(), Asks[0].Vms.end(), "good") !=
-              Asks[0].Vms.end());
+  Scheduler->adviceReceived(AdviceRequests[0].Step, AdviceRequests[0].Vms,
+                            Tickets, MonotonicClock.now() + milliseconds(10));
+  runPass();
+  BOOST_REQUIRE_EQUAL(AdviceRequests.size(), 1);
+  BOOST_CHECK(std::find(AdviceRequests[0].Vms.begin(),
+                        AdviceRequests[0].Vms.end(),
+                        "good") != AdviceRequests[0].Vms.end());
 }
--- a/packages/pool/tests/RunsTest.cpp
+++ b/packages/pool/tests/RunsTest.cpp
@@ -2,295 +2,301 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "SchedulerTrial.h"
+#include "SchedulerFixture.h"
 
 using namespace cuminroad;
 
-BOOST_FIXTURE_TEST_CASE(gangMembersShareOneCheckpoint, SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  StepPlan Gang = makeStep(2, Small);
+BOOST_FIXTURE_TEST_CASE(gangMembersRestartFromOneCheckpoint, SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  StepPlan Gang = makeStep(2, SmallSize);
   Gang.Gang = true;
   Gang.Checkpointing = true;
-  Scheduler->addJob(makeJob("g", {Gang}), makeQueue(), Time.now());
-  pass();
+  Scheduler->addJob(makeJob("g", {Gang}), makeQueue(), MonotonicClock.now());
+  runPass();
   const auto First = Starts;
   for (const StartRun &Start : First)
-    accept(Start);
-  report("a", {RunningTask{First[0].Run, "save1", 50, 0},
-               RunningTask{First[1].Run, "", 50, 0}});
-  end(First[0], RunOutcome::GangBroken);
-  end(First[1], RunOutcome::Failed);
-  pass();
+    acceptStart(Start);
+  reportRuns("a", {RunningTask{First[0].Run, "save1", 50, 0},
+                   RunningTask{First[1].Run, "", 50, 0}});
+  endRun(First[0], RunOutcome::GangBroken);
+  endRun(First[1], RunOutcome::Failed);
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 2);
   BOOST_CHECK_EQUAL(Starts[0].Checkpoint, "save1");
   BOOST_CHECK_EQUAL(Starts[1].Checkpoint, "save1");
 }
 
-BOOST_FIXTURE_TEST_CASE(jobFailsAfterItsAttempts, SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
-  end(Starts.at(0), RunOutcome::Failed);
+BOOST_FIXTURE_TEST_CASE(jobFailsAfterMaxAttempts, SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
+  endRun(Starts.at(0), RunOutcome::Failed);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
-  pass();
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Run.Number, 2);
-  end(Starts[0], RunOutcome::Failed);
+  endRun(Starts[0], RunOutcome::Failed);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Failed);
-  pass();
+  runPass();
   BOOST_CHECK(Starts.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(lapsedRunsAreNoAttempts, SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
+BOOST_FIXTURE_TEST_CASE(lapsedRunsDoNotCountAsAttempts, SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
   for (int Round = 0; Round < 5; ++Round) {
-    pass();
+    runPass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-    end(Starts[0], RunOutcome::LeaseLapsed);
+    endRun(Starts[0], RunOutcome::LeaseLapsed);
   }
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
 }
 
-BOOST_FIXTURE_TEST_CASE(refusalOfARepeatLeavesTheRunToTheLists,
-                        SchedulerTrial) {
+BOOST_FIXTURE_TEST_CASE(staleStartResponseKeepsTheRun, SchedulerFixture) {
   // The first try was carried out, its answer was lost, and the run is over.
-  addVm(makeVm("a", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+  addVm(makeVm("a", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   const StartRun First = Starts.at(0);
   Scheduler->startAnswered(First.Vm, First.Run, StartOutcome::OldRun);
-  pass();
+  runPass();
   BOOST_CHECK(Starts.empty());
-  end(First, RunOutcome::Done);
+  endRun(First, RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Completed);
 }
 
-BOOST_FIXTURE_TEST_CASE(runThatNoListHasIsPlacedAgain, SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+BOOST_FIXTURE_TEST_CASE(runMissingFromReportIsPlacedAgain, SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   // Not answered yet: the start may be on its way.
-  report("a", {});
-  pass();
+  reportRuns("a", {});
+  runPass();
   BOOST_CHECK(Starts.empty());
   Scheduler->startAnswered("a", TaskRun{{{"j", 0, 0}, 0}, 1},
                            StartOutcome::Accepted);
-  report("a", {});
-  pass();
+  reportRuns("a", {});
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Run.Number, 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(stoppingTaskKeepsItsRoom, SchedulerTrial) {
-  addVm(makeVm("a", Small));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+BOOST_FIXTURE_TEST_CASE(stoppingTaskKeepsItsCapacity, SchedulerFixture) {
+  addVm(makeVm("a", SmallSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   const StartRun First = Starts.at(0);
-  accept(First);
+  acceptStart(First);
   Scheduler->cancelJob("j");
-  Scheduler->addJob(makeJob("k", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+  Scheduler->addJob(makeJob("k", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   BOOST_CHECK_EQUAL(Stops.size(), 1);
   BOOST_CHECK(Starts.empty());
-  end(First, RunOutcome::Stopped);
-  pass();
+  endRun(First, RunOutcome::Stopped);
+  runPass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Cancelled);
 }
 
-BOOST_FIXTURE_TEST_CASE(stopIsRepeatedWhileTheVmListsTheRun, SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+BOOST_FIXTURE_TEST_CASE(stopIsRepeatedWhileTheVmReportsTheRun,
+                        SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   const StartRun Started = Starts[0];
-  accept(Started);
+  acceptStart(Started);
   Scheduler->cancelJob("j");
-  pass();
+  runPass();
   BOOST_CHECK_EQUAL(Stops.size(), 1);
-  report("a", {RunningTask{Started.Run, "", 50, 0}});
-  pass();
+  reportRuns("a", {RunningTask{Started.Run, "", 50, 0}});
+  runPass();
   BOOST_REQUIRE_EQUAL(Stops.size(), 1);
   BOOST_CHECK(Stops[0].Run == Started.Run);
-  report("a", {});
-  pass();
+  reportRuns("a", {});
+  runPass();
   BOOST_CHECK(Stops.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(cancelledBeforeItWasSentGivesItsRoomBack,
-                        SchedulerTrial) {
-  addVm(makeVm("a", Small));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+BOOST_FIXTURE_TEST_CASE(startCancelledBeforeSendingReleasesCapacity,
+                        SchedulerFixture) {
+  addVm(makeVm("a", SmallSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   const StartRun First = Starts.at(0);
   Scheduler->cancelJob("j");
   BOOST_CHECK(!Scheduler->isCurrentRun(First.Vm, First.Run));
   Scheduler->startAnswered(First.Vm, First.Run, StartOutcome::NotSent);
-  Scheduler->addJob(makeJob("k", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+  Scheduler->addJob(makeJob("k", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(unknownRunOnAVmIsStoppedAndTakesRoom, SchedulerTrial) {
-  Scheduler->vmListed(makeVm("a", Small));
-  const TaskRun Stranger{{{"gone", 0, 0}, 0}, 3};
-  const RunningTask Running{Stranger, "", 10, 0};
-  Scheduler->vmReported("a", 1, std::span(&Running, 1), Time.now());
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+BOOST_FIXTURE_TEST_CASE(unknownRunIsStoppedAndOccupiesCapacity,
+                        SchedulerFixture) {
+  Scheduler->vmListed(makeVm("a", SmallSize));
+  const TaskRun UnknownRun{{{"gone", 0, 0}, 0}, 3};
+  const RunningTask Running{UnknownRun, "", 10, 0};
+  Scheduler->vmReported("a", 1, std::span(&Running, 1), MonotonicClock.now());
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   BOOST_CHECK_EQUAL(Stops.size(), 1);
   BOOST_CHECK(Starts.empty());
-  Scheduler->taskEnded("a", TaskEnd{1, Stranger, RunOutcome::Stopped, ""});
-  pass();
+  Scheduler->taskEnded("a", TaskEnd{1, UnknownRun, RunOutcome::Stopped, ""});
+  runPass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(newOwnerKeepsWhatRunsAndRestartsWhatDoesNot,
-                        SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(3, Small)}), makeQueue(),
-                    Time.now());
-  pass();
-  const auto Sent = Starts;
-  BOOST_REQUIRE_EQUAL(Sent.size(), 3);
-  accept(Sent[0]);
-  end(Sent[1], RunOutcome::Done);
+BOOST_FIXTURE_TEST_CASE(newOwnerKeepsRunningTasksAndRestartsOthers,
+                        SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(3, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
+  const auto StartedRuns = Starts;
+  BOOST_REQUIRE_EQUAL(StartedRuns.size(), 3);
+  acceptStart(StartedRuns[0]);
+  endRun(StartedRuns[1], RunOutcome::Done);
   const auto Bytes = encodeProgress(Scheduler->progress("j"));
-  const auto Known = decodeProgress(Bytes);
-  BOOST_REQUIRE(Known);
+  const auto Restored = decodeProgress(Bytes);
+  BOOST_REQUIRE(Restored);
 
-  SchedulerTrial Next;
-  Next.Scheduler->restoreJob(makeJob("j", {makeStep(3, Small)}), makeQueue(),
-                             Next.Time.now(), *Known);
-  Next.pass();
-  BOOST_CHECK(Next.Starts.empty());
-  Next.Scheduler->vmListed(makeVm("a", Big));
-  const RunningTask Running{Sent[0].Run, "", 10, 0};
-  Next.Scheduler->vmReported("a", 1, std::span(&Running, 1), Next.Time.now());
-  Next.pass();
-  BOOST_REQUIRE_EQUAL(Next.Starts.size(), 1);
-  BOOST_CHECK(Next.Starts[0].Run.Task == Sent[2].Run.Task);
-  BOOST_CHECK_EQUAL(Next.Starts[0].Run.Number, 2);
+  SchedulerFixture NextOwner;
+  NextOwner.Scheduler->restoreJob(makeJob("j", {makeStep(3, SmallSize)}),
+                                  makeQueue(), NextOwner.MonotonicClock.now(),
+                                  *Restored);
+  NextOwner.runPass();
+  BOOST_CHECK(NextOwner.Starts.empty());
+  NextOwner.Scheduler->vmListed(makeVm("a", BigSize));
+  const RunningTask Running{StartedRuns[0].Run, "", 10, 0};
+  NextOwner.Scheduler->vmReported("a", 1, std::span(&Running, 1),
+                                  NextOwner.MonotonicClock.now());
+  NextOwner.runPass();
+  BOOST_REQUIRE_EQUAL(NextOwner.Starts.size(), 1);
+  BOOST_CHECK(NextOwner.Starts[0].Run.Task == StartedRuns[2].Run.Task);
+  BOOST_CHECK_EQUAL(NextOwner.Starts[0].Run.Number, 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(silentVmOfAnEarlierOwnerHoldsItsTasks, SchedulerTrial) {
-  JobProgress Known;
-  Known.Stage = JobStage::Running;
-  Known.Occurrences = {
+BOOST_FIXTURE_TEST_CASE(unreachableVmOfEarlierOwnerKeepsItsTasks,
+                        SchedulerFixture) {
+  JobProgress Restored;
+  Restored.Stage = JobStage::Running;
+  Restored.Occurrences = {
       {0, false, {{0, false, 0, {{0, false, 0, 1, "a", 1, ""}}}}}};
-  Scheduler->restoreJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                        Time.now(), Known);
-  addVm(makeVm("b", Big));
-  pass();
+  Scheduler->restoreJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                        MonotonicClock.now(), Restored);
+  addVm(makeVm("b", BigSize));
+  runPass();
   BOOST_CHECK(Starts.empty());
   BOOST_CHECK_EQUAL(Scheduler->occupiedVms().size(), 1);
   Scheduler->vmEmptied("a");
-  pass();
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Vm, "b");
   BOOST_CHECK_EQUAL(Starts[0].Run.Number, 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(restartedVmHasNothingOfBefore, SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
-  accept(Starts.at(0));
+BOOST_FIXTURE_TEST_CASE(restartedVmLosesItsEarlierRuns, SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
+  acceptStart(Starts.at(0));
   // A report asked for at this very moment may be from before the start.
-  Time.advance(milliseconds(1));
-  Scheduler->vmReported("a", 2, {}, Time.now());
-  pass();
+  MonotonicClock.advance(milliseconds(1));
+  Scheduler->vmReported("a", 2, {}, MonotonicClock.now());
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Run.Number, 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(stuckTaskIsMovedElsewhere, SchedulerTrial) {
-  addVm(makeVm("a", Small));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small, 500)}), makeQueue(),
-                    Time.now());
-  pass();
+BOOST_FIXTURE_TEST_CASE(stuckTaskIsMovedElsewhere, SchedulerFixture) {
+  addVm(makeVm("a", SmallSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize, 500)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   const StartRun First = Starts.at(0);
-  accept(First);
-  report("a", {RunningTask{First.Run, "", 10, 0}});
-  addVm(makeVm("b", Small));
-  Time.advance(Options.StuckAfter);
-  report("a", {RunningTask{First.Run, "", 10, 0}});
-  pass();
+  acceptStart(First);
+  reportRuns("a", {RunningTask{First.Run, "", 10, 0}});
+  addVm(makeVm("b", SmallSize));
+  MonotonicClock.advance(Options.StuckAfter);
+  reportRuns("a", {RunningTask{First.Run, "", 10, 0}});
+  runPass();
   BOOST_REQUIRE_EQUAL(Stops.size(), 1);
-  end(First, RunOutcome::Stopped);
-  pass();
+  endRun(First, RunOutcome::Stopped);
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(longRunningTaskIsRestartedHoweverItEnds,
-                        SchedulerTrial) {
-  addVm(makeVm("a", Small));
-  StepPlan Step = makeStep(1, Small);
+                        SchedulerFixture) {
+  addVm(makeVm("a", SmallSize));
+  StepPlan Step = makeStep(1, SmallSize);
   Step.LongRunning = true;
-  Scheduler->addJob(makeJob("j", {Step}), makeQueue(), Time.now());
+  Scheduler->addJob(makeJob("j", {Step}), makeQueue(), MonotonicClock.now());
   for (const RunOutcome Outcome :
        {RunOutcome::Failed, RunOutcome::Failed, RunOutcome::Failed,
         RunOutcome::LeaseLapsed, RunOutcome::Done}) {
-    Time.advance(milliseconds(60000));
-    pass();
+    MonotonicClock.advance(milliseconds(60000));
+    runPass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-    end(Starts[0], Outcome);
+    endRun(Starts[0], Outcome);
   }
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
 }
 
-BOOST_FIXTURE_TEST_CASE(fillersGiveWayToServingTasksOverTarget,
-                        SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  StepPlan Serves = makeStep(1, Small);
-  Serves.LongRunning = true;
-  Serves.LatencyTarget = milliseconds(100);
-  StepPlan BestEffort = makeStep(1, Small, 60000);
+BOOST_FIXTURE_TEST_CASE(bestEffortTasksPauseWhileLatencyTargetIsMissed,
+                        SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  StepPlan LatencySensitive = makeStep(1, SmallSize);
+  LatencySensitive.LongRunning = true;
+  LatencySensitive.LatencyTarget = milliseconds(100);
+  StepPlan BestEffort = makeStep(1, SmallSize, 60000);
   BestEffort.BestEffort = true;
-  Scheduler->addJob(makeJob("s", {Serves}), makeQueue(), Time.now());
-  Scheduler->addJob(makeJob("f", {BestEffort}), makeQueue(2), Time.now());
-  pass();
+  Scheduler->addJob(makeJob("s", {LatencySensitive}), makeQueue(),
+                    MonotonicClock.now());
+  Scheduler->addJob(makeJob("f", {BestEffort}), makeQueue(2),
+                    MonotonicClock.now());
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 2);
-  const auto Sent = Starts;
-  for (const StartRun &Start : Sent)
-    accept(Start);
-  const auto Tail = [&](double Ms) {
-    std::vector<RunningTask> Rows;
-    Rows.reserve(Sent.size());
-    for (const StartRun &Start : Sent)
-      Rows.push_back(RunningTask{Start.Run, "", 100,
-                                 Start.Run.Task.Step.Job == "s" ? Ms : 500});
-    report("a", Rows);
-    pass();
+  const auto StartedRuns = Starts;
+  for (const StartRun &Start : StartedRuns)
+    acceptStart(Start);
+  const auto ReportResponseTime = [&](double Ms) {
+    std::vector<RunningTask> Reports;
+    Reports.reserve(StartedRuns.size());
+    for (const StartRun &Start : StartedRuns)
+      Reports.push_back(RunningTask{Start.Run, "", 100,
+                                    Start.Run.Task.Step.Job == "s" ? Ms : 500});
+    reportRuns("a", Reports);
+    runPass();
   };
-  Tail(50);
-  BOOST_CHECK(Paces.empty());
-  Tail(150);
-  BOOST_REQUIRE_EQUAL(Paces.size(), 1);
-  BOOST_CHECK_EQUAL(Paces[0].Run.Task.Step.Job, "f");
-  BOOST_CHECK_EQUAL(Paces[0].SpeedPercent, 0);
-  Time.advance(milliseconds(20000));
-  Tail(50);
-  BOOST_REQUIRE_EQUAL(Paces.size(), 1);
-  BOOST_CHECK_EQUAL(Paces[0].SpeedPercent, 100);
+  ReportResponseTime(50);
+  BOOST_CHECK(Throttles.empty());
+  ReportResponseTime(150);
+  BOOST_REQUIRE_EQUAL(Throttles.size(), 1);
+  BOOST_CHECK_EQUAL(Throttles[0].Run.Task.Step.Job, "f");
+  BOOST_CHECK_EQUAL(Throttles[0].SpeedPercent, 0);
+  MonotonicClock.advance(milliseconds(20000));
+  ReportResponseTime(50);
+  BOOST_REQUIRE_EQUAL(Throttles.size(), 1);
+  BOOST_CHECK_EQUAL(Throttles[0].SpeedPercent, 100);
 }
 
-BOOST_FIXTURE_TEST_CASE(cancelledJobThatWaitsIsDropped, SchedulerTrial) {
+BOOST_FIXTURE_TEST_CASE(cancelledWaitingJobIsRemoved, SchedulerFixture) {
   // Kept for ever, it cost each pass a look.
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
   Scheduler->cancelJob("j");
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Cancelled);
   BOOST_CHECK_EQUAL(Scheduler->load().Jobs, 0);
@@ -299,73 +305,74 @@
   BOOST_CHECK(!Scheduler->stage("j"));
 }
 
-BOOST_FIXTURE_TEST_CASE(restartedVmKeepsWhatItsNewLifeRuns, SchedulerTrial) {
+BOOST_FIXTURE_TEST_CASE(restartedVmKeepsRunsOfItsNewIncarnation,
+                        SchedulerFixture) {
   // A start that was sent before the restart was known reached the new life;
   // elsewhere it would be a second run.
-  addVm(makeVm("a", Big));
-  addVm(makeVm("b", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(2, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+  addVm(makeVm("a", BigSize));
+  addVm(makeVm("b", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(2, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 2);
   const auto Runs = Starts;
   for (const StartRun &Start : Runs)
-    accept(Start);
-  Time.advance(milliseconds(10));
-  PoolVm Restarted = makeVm(Runs[0].Vm, Big);
+    acceptStart(Start);
+  MonotonicClock.advance(milliseconds(10));
+  PoolVm Restarted = makeVm(Runs[0].Vm, BigSize);
   Restarted.Incarnation = 2;
   Scheduler->vmListed(Restarted);
   Scheduler->vmReported(Runs[0].Vm, 2,
                         std::vector{RunningTask{Runs[0].Run, "", 10, 0}},
-                        Time.now());
+                        MonotonicClock.now());
   BOOST_CHECK(Scheduler->isCurrentRun(Runs[0].Vm, Runs[0].Run));
   // The other one is not there.
-  pass();
+  runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK(Starts[0].Run.Task == Runs[1].Run.Task);
   BOOST_CHECK_EQUAL(Scheduler->takeDiagnostics().LostRuns[0].Reason,
                     "vm_restarted");
 }
 
-BOOST_FIXTURE_TEST_CASE(startOnItsWayToARestartedVmIsNotPlacedElsewhere,
-                        SchedulerTrial) {
-  addVm(makeVm("a", Big));
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small)}), makeQueue(),
-                    Time.now());
-  pass();
+BOOST_FIXTURE_TEST_CASE(startInFlightToARestartedVmIsNotPlacedElsewhere,
+                        SchedulerFixture) {
+  addVm(makeVm("a", BigSize));
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   const StartRun First = Starts.at(0);
-  addVm(makeVm("b", Big));
-  Scheduler->vmReported("a", 2, {}, Time.now());
-  pass();
+  addVm(makeVm("b", BigSize));
+  Scheduler->vmReported("a", 2, {}, MonotonicClock.now());
+  runPass();
   BOOST_CHECK(Starts.empty());
   // The new life took the stop: the run can't begin there any more.
   Scheduler->stopAnswered("a", First.Run);
-  Time.advance(milliseconds(10));
-  Scheduler->vmReported("a", 2, {}, Time.now());
-  pass();
+  MonotonicClock.advance(milliseconds(10));
+  Scheduler->vmReported("a", 2, {}, MonotonicClock.now());
+  runPass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(runThatEndedBeforeItWasGivenUpCounts, SchedulerTrial) {
+BOOST_FIXTURE_TEST_CASE(completionOfAnAbandonedRunCounts, SchedulerFixture) {
   // Pattern: a VM that is cut off ends a run in time, and tells of it after its
   // lease has lapsed. The platform counts that end, so that a second run is
   // wasted and the steps behind wait for it.
-  addVm(makeVm("a", Small));
-  StepPlan Second = makeStep(1, Small);
+  addVm(makeVm("a", SmallSize));
+  StepPlan Second = makeStep(1, SmallSize);
   Second.DependsOn = {0};
-  Scheduler->addJob(makeJob("j", {makeStep(1, Small), Second}), makeQueue(),
-                    Time.now());
-  pass();
+  Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize), Second}), makeQueue(),
+                    MonotonicClock.now());
+  runPass();
   const StartRun First = Starts.at(0);
-  accept(First);
+  acceptStart(First);
   Scheduler->vmEmptied("a");
-  addVm(makeVm("b", Small));
-  pass();
+  addVm(makeVm("b", SmallSize));
+  runPass();
   const StartRun Again = Starts.at(0);
-  accept(Again);
-  end(First, RunOutcome::Done);
-  report("a", {});
-  pass();
+  acceptStart(Again);
+  endRun(First, RunOutcome::Done);
+  reportRuns("a", {});
+  runPass();
   BOOST_REQUIRE_EQUAL(Stops.size(), 1);
   BOOST_CHECK(Stops[0].Run == Again.Run);
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
@@ -373,8 +380,8 @@
   BOOST_CHECK_EQUAL(Starts[0].Vm, "a");
   // The room of the needless run is free once it has ended.
   BOOST_CHECK_EQUAL(Scheduler->load().UnknownRuns, 1);
-  end(Again, RunOutcome::Stopped);
+  endRun(Again, RunOutcome::Stopped);
   BOOST_CHECK_EQUAL(Scheduler->load().UnknownRuns, 0);
-  end(Starts[0], RunOutcome::Done);
+  endRun(Starts[0], RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Completed);
 }
--- a/packages/pool/tests/SchedulerTrial.h
+++ b/packages/pool/tests/SchedulerFixture.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_POOL_TESTS_SCHEDULERTRIAL_H
-#define CUMINROAD_POOL_TESTS_SCHEDULERTRIAL_H
+#ifndef CUMINROAD_POOL_TESTS_SCHEDULERFIXTURE_H
+#define CUMINROAD_POOL_TESTS_SCHEDULERFIXTURE_H
 
 #include <memory>
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace cuminroad {
 
-class ManualWall final : public WallClock {
+class ManualWallClock final : public WallClock {
 public:
   milliseconds sinceEpoch() const override { return Now; }
   milliseconds Now{1000000};
@@ -54,58 +54,59 @@
 }
 
 /// A scheduler with its clocks, and what its commands asked for.
-struct SchedulerTrial {
-  SchedulerTrial() : Scheduler(makePoolScheduler(Time, Wall, Options)) {}
+struct SchedulerFixture {
+  SchedulerFixture()
+      : Scheduler(makePoolScheduler(MonotonicClock, SystemClock, Options)) {}
 
   void addVm(const PoolVm &Vm) {
     Scheduler->vmListed(Vm);
-    Scheduler->vmReported(Vm.Id, Vm.Incarnation, {}, Time.now());
+    Scheduler->vmReported(Vm.Id, Vm.Incarnation, {}, MonotonicClock.now());
   }
   /// Runs a pass and sorts its commands.
-  void pass() {
+  void runPass() {
     Starts.clear();
     Stops.clear();
-    Paces.clear();
-    Asks.clear();
+    Throttles.clear();
+    AdviceRequests.clear();
     Scheduler->schedule();
     for (const PoolCommand &Command : Scheduler->takeCommands()) {
       if (const auto *Start = std::get_if<StartRun>(&Command))
         Starts.push_back(*Start);
       else if (const auto *Stop = std::get_if<StopRun>(&Command))
         Stops.push_back(*Stop);
-      else if (const auto *Pace = std::get_if<ThrottleRun>(&Command))
-        Paces.push_back(*Pace);
+      else if (const auto *Throttle = std::get_if<ThrottleRun>(&Command))
+        Throttles.push_back(*Throttle);
       else
-        Asks.push_back(std::get<RequestAdvice>(Command));
+        AdviceRequests.push_back(std::get<RequestAdvice>(Command));
     }
   }
-  void accept(const StartRun &Start) {
+  void acceptStart(const StartRun &Start) {
     Scheduler->startAnswered(Start.Vm, Start.Run, StartOutcome::Accepted);
   }
-  void end(const StartRun &Start, RunOutcome Outcome,
-           const std::string &Saved = "") {
+  void endRun(const StartRun &Start, RunOutcome Outcome,
+              const std::string &Saved = "") {
     Scheduler->taskEnded(Start.Vm,
-                         TaskEnd{++EndNumber, Start.Run, Outcome, Saved});
+                         TaskEnd{++LastEndNumber, Start.Run, Outcome, Saved});
   }
   /// A report of the VM that lists these runs.
-  void report(const std::string &Vm, std::vector<RunningTask> Running) {
-    Time.advance(milliseconds(1));
-    Scheduler->vmReported(Vm, 1, Running, Time.now());
+  void reportRuns(const std::string &Vm, std::vector<RunningTask> Running) {
+    MonotonicClock.advance(milliseconds(1));
+    Scheduler->vmReported(Vm, 1, Running, MonotonicClock.now());
   }
 
-  ManualClock Time;
-  ManualWall Wall;
+  ManualClock MonotonicClock;
+  ManualWallClock SystemClock;
   PoolOptions Options;
   std::unique_ptr<PoolScheduler> Scheduler;
   std::vector<StartRun> Starts;
   std::vector<StopRun> Stops;
-  std::vector<ThrottleRun> Paces;
-  std::vector<RequestAdvice> Asks;
-  std::int64_t EndNumber = 0;
+  std::vector<ThrottleRun> Throttles;
+  std::vector<RequestAdvice> AdviceRequests;
+  std::int64_t LastEndNumber = 0;
 };
 
-inline constexpr Capacity Small{1000, 100, 0};
-inline constexpr Capacity Big{4000, 1000, 0};
+inline constexpr Capacity SmallSize{1000, 100, 0};
+inline constexpr Capacity BigSize{4000, 1000, 0};
 
 } // namespace cuminroad
 
