--- a/packages/pool/include/cuminroad/pool/JobPlan.h
+++ b/packages/pool/include/cuminroad/pool/JobPlan.h
@@ -12,27 +12,31 @@
 
 namespace cuminroad {
 
-/// What a caller submits to a queue.
+/// A job as a client submits it to a queue.
 struct JobPlan {
   std::string Id;
-  /// Passed to the VMs as it came.
+  /// Opaque to the scheduler; passed to the VMs unchanged.
   std::string Spec;
   std::vector<StepPlan> Steps;
-  /// How often the steps run at set times; 0 for a job that runs once, now.
+  /// Number of scheduled occurrences of the steps; 0 for a job that runs once,
+  /// immediately.
   int Occurrences = 0;
-  /// Wall-clock time of the first occurrence, since 1970.
+  /// Wall-clock time of the first occurrence, since the Unix epoch.
   milliseconds FirstDue{0};
+  /// Time from one occurrence to the next.
   milliseconds Interval{0};
 
+  /// \returns whether any step is long-running, so that the job runs until it
+  /// is cancelled.
   bool isLongRunning() const;
 };
 
-/// Checks what no parser of a single field can: steps refer to earlier steps
-/// only, and counts are positive.
+/// Validates constraints across fields: steps depend on earlier steps only, and
+/// all numbers are within their bounds.
 Result<void> checkPlan(const JobPlan &Plan);
 
 nlohmann::json toJson(const JobPlan &Plan);
-/// Reads what toJson() wrote.
+/// Parses the output of toJson().
 Result<JobPlan> jobPlanFromJson(const nlohmann::json &Input);
 
 } // namespace cuminroad
--- a/packages/pool/include/cuminroad/pool/JobProgress.h
+++ b/packages/pool/include/cuminroad/pool/JobProgress.h
@@ -11,46 +11,48 @@
 
 namespace cuminroad {
 
-/// What must last of one task.
+/// Persisted progress of one task.
 struct TaskProgress {
   int Index = 0;
   bool Done = false;
   int Failures = 0;
-  /// The last run that may have been started.
+  /// Number of the last run that may have been started.
   std::int64_t Run = 0;
-  /// The VM that has the run, and when that VM began its present life; "" where
-  /// the task is on none.
+  /// The VM that has the run, and that VM's incarnation; "" if the task is on
+  /// no VM.
   std::string Vm;
   std::int64_t VmIncarnation = 0;
   std::string Checkpoint;
 };
 
-/// Tasks of one step that are not as they were submitted.
+/// Persisted progress of one step: the tasks whose state has changed since the
+/// job was submitted.
 struct StepProgress {
   int Step = 0;
-  /// All tasks are done; Tasks is empty.
+  /// All tasks are done; Tasks is then empty.
   bool Done = false;
   int GangFailures = 0;
   std::vector<TaskProgress> Tasks;
-  /// The last run of a gang that was counted as failed.
+  /// Number of the last run of a gang that was counted as failed.
   std::int64_t GangFailedRun = 0;
 };
 
-/// One occurrence of a job.
+/// Persisted progress of one occurrence of a job.
 struct OccurrenceProgress {
   int Number = 0;
   bool Done = false;
   std::vector<StepProgress> Steps;
 };
 
-/// What must last of a job besides its plan.
+/// Persisted progress of a job; its plan is stored separately.
 struct JobProgress {
   JobStage Stage = JobStage::Queued;
   std::vector<OccurrenceProgress> Occurrences;
 };
 
-/// Compact bytes for a row of the store.
+/// Serializes progress to MessagePack for a row of the store.
 std::string encodeProgress(const JobProgress &Progress);
+/// Parses the output of encodeProgress(), also that of earlier versions.
 Result<JobProgress> decodeProgress(std::string_view Bytes);
 
 } // namespace cuminroad
--- a/packages/pool/include/cuminroad/pool/PoolCommand.h
+++ b/packages/pool/include/cuminroad/pool/PoolCommand.h
@@ -10,44 +10,46 @@
 
 namespace cuminroad {
 
-/// Start a run. It must be in the store before it is sent.
+/// Starts a run on a VM. The run must be recorded in the store before the
+/// command is sent.
 struct StartRun {
   std::string Vm;
   TaskRun Run;
   std::string Checkpoint;
   std::string Ticket;
-  /// Not sent later than this, since the ticket would have expired.
+  /// The command must not be sent after this time: the ticket has then expired.
   TimePoint TicketExpiry = TimePoint::max();
 };
 
-/// Stop a run; the VM saves a checkpoint where the task has them.
+/// Stops a run; the VM saves a checkpoint if the task supports checkpoints.
 struct StopRun {
   std::string Vm;
   TaskRun Run;
 };
 
-/// Let a task work at a share of its speed.
+/// Limits the speed of a run.
 struct ThrottleRun {
   std::string Vm;
   TaskRun Run;
+  /// 100 for full speed, 0 to pause the run.
   int SpeedPercent = 100;
 };
 
-/// Ask which of some VMs may run a step.
+/// Asks the placement advisor which of some VMs may run a step.
 struct RequestAdvice {
   StepName Step;
   std::vector<std::string> Vms;
-  /// How long the advisor is expected to take.
+  /// Expected latency of the advisor's response, in milliseconds.
   double ExpectedLatencyMs = 0;
-  /// Of the step's queue; 0 goes first.
+  /// Priority of the step's queue; 0 is the highest.
   int Priority = 0;
-  /// The VMs are known to be good, and new tickets are wanted.
+  /// The VMs are known to be allowed; the request is for new tickets only.
   bool Renewal = false;
 };
 
 using PoolCommand = std::variant<StartRun, StopRun, ThrottleRun, RequestAdvice>;
 
-/// A ticket for one VM.
+/// The advisor's permission to run a step on one VM.
 struct AdviceTicket {
   std::string Vm;
   std::string Ticket;
--- a/packages/pool/include/cuminroad/pool/PoolDiagnostics.h
+++ b/packages/pool/include/cuminroad/pool/PoolDiagnostics.h
@@ -10,37 +10,39 @@
 
 namespace cuminroad {
 
-/// Why a run that was placed did not go on.
+/// A run that was placed and lost before its task ended.
 struct LostRun {
   TaskRun Run;
   std::string Vm;
   std::string_view Reason;
 };
 
-/// Why a step has waited for long.
+/// Why a step could not be placed for some time. The counts show which
+/// condition excludes the VMs.
 struct BlockedStep {
   StepName Step;
   milliseconds Waited{0};
   int WaitingTasks = 0;
-  /// VMs that the advisor allows, or all where none is asked.
+  /// VMs that the advisor allows, or all VMs if the queue needs no advice.
   int AllowedVms = 0;
-  /// Of these, those whose lease is held and that do not leave.
+  /// Allowed VMs whose lease is held and that are not leaving.
   int AvailableVms = 0;
-  /// Of the held ones, those that suit the step and are not in quarantine.
+  /// Available VMs that can host the step and are not in quarantine.
   int UsableVms = 0;
-  /// Of the allowed ones, those with a ticket that holds.
+  /// VMs with a ticket that is valid for long enough, or, if the queue needs no
+  /// advice, VMs that accept work.
   int VmsWithTicket = 0;
-  /// Of the allowed ones, those with room for a task.
+  /// Allowed VMs with enough free capacity for a task.
   int VmsWithRoom = 0;
 };
 
-/// A VM that gets nothing for a while, since what it starts fails.
+/// A VM that gets no new tasks for some time because its starts and runs fail.
 struct VmQuarantine {
   std::string Vm;
   milliseconds Duration{0};
 };
 
-/// What a pool scheduler has to say for logs; it decides nothing.
+/// Events for the log. They don't affect scheduling.
 struct PoolDiagnostics {
   std::vector<LostRun> LostRuns;
   std::vector<BlockedStep> BlockedSteps;
--- a/packages/pool/include/cuminroad/pool/PoolOptions.h
+++ b/packages/pool/include/cuminroad/pool/PoolOptions.h
@@ -5,57 +5,65 @@
 
 namespace cuminroad {
 
-/// Bounds of the pool scheduler's policies.
+/// Tuning parameters of the pool scheduler.
 struct PoolOptions {
-  /// How much longer work takes away from its data, or a gang across racks;
-  /// the platform states it.
+  /// Factor by which run time grows when a task is away from its data or a gang
+  /// spans racks, as configured by the platform.
   double RemoteFactor = 1.0;
-  /// Blocked steps that get VMs reserved at a time. Each holds room back from
-  /// steps behind it, so that a few of them suffice.
+  /// Most blocked steps with reserved VMs at a time. Each reservation withholds
+  /// capacity from the steps behind it, so a few suffice.
   int MaxReservedSteps = 6;
-  /// A ticket is used only if it holds this much longer than a start takes.
+  /// A ticket is used only if it is valid for this much longer than a start
+  /// takes.
   milliseconds TicketMargin{150};
-  /// How long a start takes to reach its VM: it is recorded before it is sent.
-  /// Measured while running; this is the value at the start.
+  /// Time until a start reaches its VM, including the write to the store that
+  /// precedes it. This is the initial value; PoolScheduler::setStartDelay()
+  /// updates it with measurements.
   milliseconds StartDelay{100};
-  /// Waiting steps whose tickets are kept fresh.
+  /// Most waiting steps whose tickets are kept valid.
   int MaxRenewedSteps = 16;
-  /// Waiting steps that are looked at for that; to look at hundreds that have
-  /// no room coming would take the time from those that have.
+  /// Most waiting steps examined for ticket renewal in a pass. Examining
+  /// hundreds of steps that no VM will have room for soon would delay the
+  /// others.
   int MaxRenewalCandidates = 64;
-  /// Blocked steps after which a pass ends: those behind are less urgent, and
-  /// looking at thousands of them would take the time from those before.
+  /// A pass ends after this many blocked steps. The remaining steps are less
+  /// urgent, and examining thousands of them would delay the more urgent ones.
   int MaxBlockedSteps = 150;
-  /// Steps that may be asked about at the same time.
+  /// Most steps with a pending advice request.
   int MaxPendingAdvice = 64;
-  /// VMs asked about first: the objective allows for a call about 30. Others
-  /// are asked about when these have no room.
+  /// VMs named in a step's first advice request; the latency objective allows
+  /// for a call with about 30. Advice on further VMs is requested if these have
+  /// no room.
   std::size_t InitialAdviceVms = 40;
-  /// A step that is blocked for this long asks about more VMs.
+  /// Advice on further VMs is requested for a step blocked for this long.
   milliseconds ExtendAdviceAfter{400};
-  /// VMs asked about again when a step's tickets are renewed.
+  /// Most VMs for which a step's tickets are renewed at a time.
   int MaxRenewedVms = 6;
-  /// Tickets are renewed when room is expected within the advisor's time and
-  /// this.
+  /// Tickets are renewed when capacity is expected to become free within the
+  /// advisor's latency plus this time.
   milliseconds RenewalLead{250};
-  /// A step's advice is asked for when the steps before it are expected to end
-  /// within the advisor's time and this.
+  /// Advice for a step is requested when its dependencies are expected to end
+  /// within the advisor's latency plus this time.
   milliseconds AdviceLead{300};
-  /// Failed starts and runs in a row after which a VM gets nothing new.
+  /// Consecutive failed starts and runs after which a VM is put in quarantine,
+  /// where it gets no new tasks.
   int FailuresToQuarantine = 3;
+  /// Duration of the first quarantine; each further one lasts twice as long, up
+  /// to QuarantineMax.
   milliseconds QuarantineMin{3000};
   milliseconds QuarantineMax{30000};
-  /// A step that is blocked for this long may try a VM in quarantine, with a
-  /// task's last attempt after twice as long. It is below the 3 s within which
-  /// work that could run must start.
+  /// A step blocked for this long may probe a VM in quarantine; a task on its
+  /// last attempt waits twice as long. It is below the 3 s within which a task
+  /// that could run must start.
   milliseconds ProbeAfter{1000};
-  /// Least time between two such tries of a VM: each may cost an attempt.
+  /// Minimum time between two probes of a VM, since each may cost an attempt.
   milliseconds MinProbeInterval{1000};
-  /// A task whose progress stands still this long is stopped and run elsewhere.
+  /// A task that makes no progress for this long is stopped and placed again.
   milliseconds StuckAfter{3000};
   /// Delay before a task whose start was refused is placed again.
   milliseconds RefusedStartDelay{150};
-  /// A job is of little value to its caller this many objectives late.
+  /// A job is very late, and of little value to its client, once this many
+  /// latency objectives have passed since it was due.
   double VeryLateFactor = 3.0;
 };
 
--- a/packages/pool/include/cuminroad/pool/PoolScheduler.h
+++ b/packages/pool/include/cuminroad/pool/PoolScheduler.h
@@ -20,100 +20,111 @@
 
 namespace cuminroad {
 
-/// What a pool holds; for logs and metrics.
+/// Load of a pool, for logs and metrics.
 struct PoolLoad {
   int Vms = 0;
-  /// Their leases are held.
+  /// VMs whose lease is held.
   int LeasedVms = 0;
   int Jobs = 0;
   int WaitingTasks = 0;
   int PlacedTasks = 0;
   int RunningTasks = 0;
   int StoppingTasks = 0;
-  /// Runs that belong to no unfinished job.
+  /// Runs on VMs that belong to no unfinished task.
   int UnknownRuns = 0;
-  /// Thousandths of cores.
+  /// CPU capacity in thousandths of a core.
   std::int64_t UsedMilliCores = 0;
   std::int64_t TotalMilliCores = 0;
 };
 
-/// Decides which task of which job runs on which VM of one pool. Events go in,
-/// commands come out; it does no I/O and starts no thread.
+/// Decides which task runs on which VM of one pool. The caller feeds it events
+/// and executes its commands; the scheduler does no I/O and starts no threads.
 ///
-/// Invariants: what was placed on a VM and has not certainly ended never
-/// exceeds the VM's capacity; a task is on one VM at most; no step starts
-/// before the steps that it follows are done.
+/// Invariants: the runs placed on a VM that are not known to have ended never
+/// exceed the VM's capacity; a task is on at most one VM; no step starts before
+/// its dependencies are done.
 class PoolScheduler {
 public:
   virtual ~PoolScheduler() = default;
 
-  /// Adds a VM or changes its description. A new life empties it.
+  /// Adds a VM or updates its description. After a change of incarnation the VM
+  /// gets no work until its next report.
   virtual void vmListed(const PoolVm &Vm) = 0;
-  /// The VM's lease is held, and \p Running is all that runs there. Also tells
-  /// of each later report.
+  /// The VM's lease is held, and \p Running are all the runs on the VM, as of a
+  /// report requested at \p RequestedAt. Called for the first and each later
+  /// report.
   virtual void vmReported(std::string_view Vm, std::int64_t Incarnation,
                           std::span<const RunningTask> Running,
                           TimePoint RequestedAt) = 0;
-  /// The VM does not answer: it gets no work, but what runs there may go on.
+  /// The VM doesn't respond: it gets no new work, but its runs may continue.
   virtual void vmUnreachable(std::string_view Vm) = 0;
-  /// Nothing of before runs on the VM any more, for certain.
+  /// All earlier runs on the VM have certainly ended.
   virtual void vmEmptied(std::string_view Vm) = 0;
-  /// Forgets a VM; it must have been emptied.
+  /// Removes a VM; all its runs must have ended.
   virtual void vmRemoved(std::string_view Vm) = 0;
 
-  /// Adds a job that is in the store.
+  /// Adds a job that is already recorded in the store.
   virtual void addJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt) = 0;
-  /// Adds a job of an earlier owner, with what the store knows of it.
+  /// Adds a job that an earlier owner of the pool accepted, with its stored
+  /// progress.
   virtual void restoreJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt,
                           const JobProgress &Progress) = 0;
+  /// Updates the terms of a queue for its unfinished jobs.
   virtual void setTerms(const QueueTerms &Terms) = 0;
   virtual void cancelJob(std::string_view Job) = 0;
+  /// Discards the final stage of a finished job.
   virtual void forgetJob(std::string_view Job) = 0;
 
   virtual void taskEnded(std::string_view Vm, const TaskEnd &End) = 0;
+  /// The VM has responded to a start command, or the command was not sent.
   virtual void startAnswered(std::string_view Vm, const TaskRun &Run,
                              StartOutcome Outcome) = 0;
-  /// The VM took the order to stop a run.
+  /// The VM has accepted the command to stop a run.
   virtual void stopAnswered(std::string_view Vm, const TaskRun &Run) = 0;
-  /// What the advisor said; \p Asked without a ticket are not to be used.
+  /// The advisor has responded; VMs of \p QueriedVms without a ticket must not
+  /// run the step. Both are empty if the request was dropped.
   virtual void adviceReceived(const StepName &Step,
                               std::span<const std::string> QueriedVms,
                               std::span<const AdviceTicket> Tickets,
                               TimePoint ValidUntil) = 0;
   virtual void adviceFailed(const StepName &Step) = 0;
 
-  /// Whether an answer to a question about this step is still of use.
+  /// \returns whether advice for this step is still useful.
   virtual bool needsAdvice(const StepName &Step) const = 0;
-  /// How long a start takes to reach its VM at present, with what must be
-  /// recorded before it.
+  /// Sets the current time until a start reaches its VM, including the write to
+  /// the store that precedes it.
   virtual void setStartDelay(milliseconds Delay) = 0;
 
-  /// Places what can be placed and handles what became due.
+  /// Runs a scheduling pass: creates due occurrences, stops stuck tasks, places
+  /// tasks and requests advice.
   virtual void schedule() = 0;
   /// \returns the commands since the last call, in order.
   virtual std::vector<PoolCommand> takeCommands() = 0;
   /// \returns the jobs whose progress changed since the last call.
   virtual std::vector<std::string> takeChangedJobs() = 0;
-  /// \returns what is to be logged since the last call.
+  /// \returns the events to log since the last call.
   virtual PoolDiagnostics takeDiagnostics() = 0;
 
+  /// \returns the stage of a job, or nothing if the job is unknown.
   virtual std::optional<JobStage> stage(std::string_view Job) const = 0;
+  /// \returns the progress of a job to persist.
   virtual JobProgress progress(std::string_view Job) const = 0;
-  /// Whether \p Run is the present run of its task on \p Vm and not being
+  /// \returns whether \p Run is its task's current run on \p Vm and isn't being
   /// stopped.
   virtual bool isCurrentRun(std::string_view Vm, const TaskRun &Run) const = 0;
-  /// \returns the jobs of a queue for which no task has started.
+  /// \returns the number of a queue's jobs of which no task has started.
   virtual int pendingJobs(std::string_view Queue) const = 0;
-  /// \returns the VMs on which tasks may run, with the lives recorded.
+  /// \returns the ids of the VMs on which runs may exist.
   virtual std::vector<std::string> occupiedVms() const = 0;
+  /// \returns the current load of the pool.
   virtual PoolLoad load() const = 0;
-  /// \returns the plan of an unfinished job, or null.
+  /// \returns the plan of an unfinished job, or nullptr.
   virtual const JobPlan *plan(std::string_view Job) const = 0;
-  /// \returns the terms of an unfinished job's queue, or null.
+  /// \returns the terms of an unfinished job's queue, or nullptr.
   virtual const QueueTerms *terms(std::string_view Job) const = 0;
 };
 
-/// \p Time and \p Wall must outlive the scheduler.
+/// Both clocks must outlive the scheduler.
 std::unique_ptr<PoolScheduler> makePoolScheduler(const Clock &MonotonicClock,
                                                  const WallClock &SystemClock,
                                                  const PoolOptions &Options);
--- a/packages/pool/include/cuminroad/pool/PoolVm.h
+++ b/packages/pool/include/cuminroad/pool/PoolVm.h
@@ -11,30 +11,30 @@
 
 namespace cuminroad {
 
-/// A VM of the pool as it describes itself.
+/// Description of a VM of the pool.
 struct PoolVm {
   std::string Id;
   std::string Domain;
-  /// Its kind and its rack, among others.
+  /// Includes the VM's kind and its rack.
   std::vector<std::string> Labels;
   Capacity Total;
-  /// It takes no new work and ends soon.
+  /// The VM accepts no new work and shuts down soon.
   bool Leaving = false;
-  /// When its present life began; another value means that nothing of before
-  /// is left on it.
+  /// When the current incarnation of the VM started. A different value means
+  /// that no run of an earlier incarnation is left on it.
   std::int64_t Incarnation = 0;
 
   bool hasLabel(std::string_view Label) const;
 };
 
-/// What a VM says of a task that it runs.
+/// A VM's report on a task that it runs.
 struct RunningTask {
   TaskRun Run;
   std::string Checkpoint;
-  /// Progress of the task, or 100 for one that serves and is at work.
+  /// Progress of the task; 100 for a long-running task that is ready.
   int ProgressPercent = 0;
-  /// For a task that serves: the tail of its response times in milliseconds.
-  /// For any other: the thousandths of a core that it uses.
+  /// For a latency-sensitive task, its tail response time in milliseconds; for
+  /// other tasks, its CPU usage in thousandths of a core.
   double Measurement = 0;
 };
 
@@ -43,30 +43,33 @@
   Done,
   Failed,
   Stopped,
+  /// The VM's lease was not renewed in time.
   LeaseLapsed,
-  /// Another member of its gang ended.
+  /// Another member of the task's gang has ended.
   GangBroken,
-  /// The other members of its gang did not come.
+  /// The other members of the task's gang did not start.
   GangIncomplete,
 };
 
-/// The end of a run as a VM reports it.
+/// The end of a run, as reported by its VM.
 struct TaskEnd {
-  /// Counts up in each life of the VM.
+  /// Sequence number within an incarnation of the VM.
   std::int64_t Number = 0;
   TaskRun Run;
   RunOutcome Outcome = RunOutcome::Done;
   std::string Checkpoint;
 };
 
-/// How a VM answered a start.
+/// A VM's response to a start command.
 enum class StartOutcome {
   Accepted,
-  /// The run is not above one that ended there: it was started before.
+  /// The VM has already seen this run, or a later one, of the task end: an
+  /// earlier attempt to send the command reached it.
   OldRun,
-  /// The VM is unhealthy, full, or the order came too late; it did nothing.
+  /// The VM is unhealthy or full, or the command arrived too late; the VM did
+  /// nothing.
   Refused,
-  /// It was not sent, since the run is no longer wanted.
+  /// The command was not sent because the run is no longer current.
   NotSent,
   /// The ticket has expired.
   TicketExpired,
--- a/packages/pool/include/cuminroad/pool/QueueTerms.h
+++ b/packages/pool/include/cuminroad/pool/QueueTerms.h
@@ -8,28 +8,31 @@
 
 namespace cuminroad {
 
-/// How long the placement advisor takes, and for how long a ticket holds.
+/// Latency of the placement advisor, and the validity of its tickets.
 struct AdviceTerms {
+  /// Fixed part of the latency of a call.
   milliseconds DecisionTime{0};
-  /// For each VM that is asked about.
+  /// Additional latency for each VM in a request, in milliseconds.
   double PerVmMs = 0;
+  /// Validity of a ticket.
   milliseconds ValidFor{0};
 };
 
-/// The terms of a customer's queue, as the contract in force states them.
+/// The terms of a customer's queue in the contract in force.
 struct QueueTerms {
   std::string Name;
   /// The pool of VMs that runs the queue's jobs.
   std::string Service;
-  /// 0 goes first.
+  /// 0 is the highest priority.
   int Priority = 0;
-  /// Failed runs of a task after which its job has failed.
+  /// Number of failed runs of a task after which its job fails.
   int MaxAttempts = 1;
-  /// A job is on time within Stretch times its longest chain of work, and
-  /// LatencyTarget more.
+  /// A job is on time if it takes at most Stretch times the length of its
+  /// critical path, plus LatencyTarget.
   double Stretch = 1;
   milliseconds LatencyTarget{0};
-  /// Only some VMs may run a step, and an advisor knows which.
+  /// Set if only some VMs may run a step and the placement advisor decides
+  /// which.
   std::optional<AdviceTerms> Advice;
 };
 
--- a/packages/pool/include/cuminroad/pool/StepPlan.h
+++ b/packages/pool/include/cuminroad/pool/StepPlan.h
@@ -9,43 +9,47 @@
 
 namespace cuminroad {
 
-/// A step of a job: tasks that are alike.
+/// A step of a job: a number of identical tasks.
 struct StepPlan {
   int Tasks = 1;
   Capacity PerTask;
-  /// Declared run time of one task, often far off.
+  /// Declared run time of one task; often far from the actual run time.
   milliseconds Estimate{0};
-  /// Numbers of earlier steps whose tasks must all be done first.
+  /// Indices of the steps whose tasks must all be done first.
   std::vector<int> DependsOn;
+  /// The tasks save checkpoints from which a later run can continue.
   bool Checkpointing = false;
-  /// All tasks run at the same time or none works.
+  /// The tasks only make progress while all of them run at the same time.
   bool Gang = false;
-  /// A gang works slower across racks.
+  /// Prefers VMs of one rack, since the gang is slower across racks.
   bool SameRack = false;
-  /// A label that the VM must have; "" for none.
+  /// Label that a VM must have; "" for none.
   std::string RequiredLabel;
-  /// The rack near the step's data; "" for none.
+  /// Label of the rack that is closest to the step's data; "" for none.
   std::string DataRack;
-  /// Tasks of this step that may share a VM; 0 for any number.
+  /// Most tasks of this step on one VM; 0 for no limit.
   int MaxPerVm = 0;
   /// Copies of a task may run at the same time.
   bool Speculative = false;
-  /// Runs until the job is cancelled and is restarted however it ends.
+  /// The tasks run until the job is cancelled; whatever the outcome of a run,
+  /// the task is restarted.
   bool LongRunning = false;
-  /// What the tasks run; tasks of one image behave alike.
+  /// Program that the tasks run; tasks with the same image behave alike.
   std::string Image;
-  /// Bound of the tail of the response times of a task that serves; 0 for none.
+  /// Target for the tail response time of a long-running task; 0 for none.
   milliseconds LatencyTarget{0};
-  /// Takes the processors that other tasks leave unused.
+  /// The tasks run on CPU time that other tasks leave unused; no CPU is
+  /// reserved for them.
   bool BestEffort = false;
-  /// Tasks of a long-running step that may be down at the same time because of
-  /// the scheduler.
+  /// Most tasks of a long-running step that the scheduler may make unavailable
+  /// at the same time.
   int MaxUnavailable = 0;
 
+  /// \returns whether the tasks are long-running with a latency target.
   bool isLatencySensitive() const {
     return LongRunning && LatencyTarget.count() > 0;
   }
-  /// What a task takes of a VM's capacity.
+  /// \returns the capacity that a task reserves on its VM.
   Capacity reservedCapacity() const {
     Capacity Out = PerTask;
     if (BestEffort)
--- a/packages/pool/include/cuminroad/pool/SystemWallClock.h
+++ b/packages/pool/include/cuminroad/pool/SystemWallClock.h
@@ -5,7 +5,7 @@
 
 namespace cuminroad {
 
-/// The machine's time of day.
+/// Wall clock of the operating system.
 class SystemWallClock final : public WallClock {
 public:
   milliseconds sinceEpoch() const override {
--- a/packages/pool/include/cuminroad/pool/TaskName.h
+++ b/packages/pool/include/cuminroad/pool/TaskName.h
@@ -7,10 +7,10 @@
 
 namespace cuminroad {
 
-/// Names one step of one occurrence of a job.
+/// Identifies a step of an occurrence of a job.
 struct StepName {
   std::string Job;
-  /// 0 for a job that runs once.
+  /// Number of the occurrence; 0 for a job that runs once.
   int Occurrence = 0;
   int Step = 0;
 
@@ -21,7 +21,7 @@
   }
 };
 
-/// Names one task of a step.
+/// Identifies a task of a step.
 struct TaskName {
   StepName Step;
   int Index = 0;
@@ -32,8 +32,8 @@
   }
 };
 
-/// One run of a task. Runs are numbered from 1 and only rise, also over
-/// changes of the pool's owner.
+/// Identifies a run of a task. Run numbers start at 1 and only increase, also
+/// across changes of the pool's owner.
 struct TaskRun {
   TaskName Task;
   std::int64_t Number = 0;
--- a/packages/pool/include/cuminroad/pool/WallClock.h
+++ b/packages/pool/include/cuminroad/pool/WallClock.h
@@ -5,11 +5,12 @@
 
 namespace cuminroad {
 
-/// Source of the time of day, which may jump. Only due times are counted in it.
+/// Wall-clock time, which may jump. It is only used to decide when occurrences
+/// of jobs are due.
 class WallClock {
 public:
   virtual ~WallClock() = default;
-  /// \returns milliseconds since 1970.
+  /// \returns the time since the Unix epoch.
   virtual milliseconds sinceEpoch() const = 0;
 };
 
--- a/packages/pool/src/AdvicePlanner.cpp
+++ b/packages/pool/src/AdvicePlanner.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-/// Most VMs that one call may name.
+/// Maximum number of VMs in one call to the advisor.
 constexpr std::size_t MaxVmsPerCall = 100;
 
-/// A VM to ask about.
+/// A candidate VM for a request.
 struct RankedVm {
-  /// Nothing runs on VMs in quarantine, so that by room alone they would always
-  /// come first.
+  /// VMs in quarantine are ranked last: nothing runs on them, so they would
+  /// otherwise always have the most room.
   bool InQuarantine;
-  /// How many of the step's tasks fit.
+  /// Number of the step's tasks that fit.
   int FittingTasks;
   VmRecord *Vm;
 };
 
-/// The most room first.
+/// Sorts by decreasing room, VMs in quarantine last.
 void sortByRoom(std::vector<RankedVm> &Vms) {
   std::sort(Vms.begin(), Vms.end(),
             [](const RankedVm &Left, const RankedVm &Right) {
@@ -33,8 +33,9 @@
             });
 }
 
-/// Keeps the \p Most VMs with the least room that together hold all \p Tasks,
-/// or those with the most. Whole VMs are left to steps that need them.
+/// Keeps the \p MaxVms VMs with the least room that together fit all \p Tasks,
+/// or those with the most room if no such VMs exist. This leaves empty VMs to
+/// steps that need whole VMs.
 void keepTightest(std::vector<RankedVm> &Vms, int Tasks, std::size_t MaxVms) {
   sortByRoom(Vms);
   const std::size_t Size = std::min(Vms.size(), MaxVms);
@@ -59,7 +60,8 @@
 } // namespace
 
 void AdvicePlanner::run() {
-  // In the order of the scheduling pass, which keeps room for the first steps.
+  // In the order of the scheduling pass, which reserves VMs for the first
+  // steps.
   int PendingAdvice = Waiting_.PendingAdvice;
   int RenewalsLeft = Options_.MaxRenewedSteps;
   int CandidatesLeft = Options_.MaxRenewalCandidates;
@@ -67,7 +69,7 @@
     if (PendingAdvice >= Options_.MaxPendingAdvice)
       return;
     StepRecord &Step = *Entry;
-    // The pass has placed some of them.
+    // The scheduling pass may have placed all tasks of the step.
     if (Step.WaitingTasks == 0 || Step.AdvicePending ||
         !Step.Occurrence->Job->Terms.Advice)
       continue;
@@ -112,7 +114,7 @@
   if (Step.SeenVmsVersion == Tables_.VmsVersion && !BlockedLong)
     return;
   Step.SeenVmsVersion = Tables_.VmsVersion;
-  // Enough VMs are known, and new ones come in while the step is not stuck.
+  // Advice on enough VMs is known until the step has been blocked for long.
   if (!Step.QueriedVms.empty() && !BlockedLong)
     return;
   const Capacity TaskSize = Step.Plan->reservedCapacity();
@@ -130,8 +132,9 @@
   if (NewVms.empty())
     return;
   sortByRoom(NewVms);
-  // A call costs the advisor's decision whatever it names: a step that is stuck
-  // asks about all that is left at once.
+  // Most of a call's latency is independent of the number of VMs, so a step
+  // that has been blocked for long requests as many of the remaining VMs as
+  // possible.
   const std::size_t MaxVms =
       BlockedLong
           ? MaxVmsPerCall
@@ -152,8 +155,8 @@
       toMillis(expectedLatencyMs(
           Step, static_cast<std::size_t>(Options_.MaxRenewedVms))) +
       Options_.RenewalLead;
-  // A gang waits for the VMs that are kept for it. To ask for others, while it
-  // has none, only takes the advisor's time from those that have.
+  // A gang waits for its reserved VMs. Requests for a gang without reservations
+  // would only delay the requests of those that have them.
   if (Step.Plan->Gang)
     return Step.ReservationStart <= AnswerTime ? Step.ReservedVms
                                                : std::vector<VmRecord *>();
@@ -178,21 +181,21 @@
 }
 
 bool AdvicePlanner::renewTickets(StepRecord &Step) {
-  const std::vector<VmRecord *> Next = vmsForNextTasks(Step);
-  if (Next.empty())
+  const std::vector<VmRecord *> NextVms = vmsForNextTasks(Step);
+  if (NextVms.empty())
     return false;
   const TimePoint RequiredUntil =
       Now_ + Options_.TicketMargin + Options_.StartDelay +
-      toMillis(expectedLatencyMs(Step, Next.size()));
+      toMillis(expectedLatencyMs(Step, NextVms.size()));
   const bool AnyExpiring =
-      std::any_of(Next.begin(), Next.end(), [&](VmRecord *Vm) {
+      std::any_of(NextVms.begin(), NextVms.end(), [&](VmRecord *Vm) {
         return Step.AllowedVms[Vm].ValidUntil < RequiredUntil;
       });
   if (!AnyExpiring)
     return true;
   std::vector<std::string> Vms;
-  Vms.reserve(Next.size());
-  for (const VmRecord *Vm : Next)
+  Vms.reserve(NextVms.size());
+  for (const VmRecord *Vm : NextVms)
     Vms.push_back(Vm->Description.Id);
   requestAdvice(Step, std::move(Vms), true);
   return true;
--- a/packages/pool/src/AdvicePlanner.h
+++ b/packages/pool/src/AdvicePlanner.h
@@ -6,10 +6,11 @@
 
 namespace cuminroad {
 
-/// Decides what to ask the placement advisor. Which VMs are good for a step
-/// never changes, but tickets age: so a step's VMs are asked about once, all
-/// together and early, and the tickets of steps near the front of the queue
-/// are renewed for the few VMs that may take their next tasks.
+/// Decides which advice to request from the placement advisor. Which VMs are
+/// allowed for a step never changes, but tickets expire. Advice for a step is
+/// therefore requested once, early and for many VMs together; the tickets of
+/// the most urgent steps are then renewed for the few VMs that may take their
+/// next tasks.
 class AdvicePlanner {
 public:
   AdvicePlanner(PoolTables &Tables, const WaitingSteps &Waiting,
@@ -19,15 +20,22 @@
   void run();
 
 private:
+  /// Requests advice on VMs that no earlier request of the step named.
   void requestAdviceOnNewVms(StepRecord &Step);
-  /// \returns whether the step may get VMs soon, so that its tickets count.
+  /// Requests new tickets if those of the VMs for the next tasks expire soon.
+  /// \returns whether the step may be placed soon, so that it counts towards
+  /// PoolOptions::MaxRenewedSteps.
   bool renewTickets(StepRecord &Step);
-  /// The VMs that are expected to take the step's next tasks when an answer
-  /// comes.
+  /// \returns the VMs that are expected to have room for the step's next tasks
+  /// when the advisor responds.
   std::vector<VmRecord *> vmsForNextTasks(const StepRecord &Step) const;
+  /// \returns whether the step's dependencies are expected to be done by the
+  /// time the advisor responds.
   bool isReadySoon(const StepRecord &Step) const;
   void requestAdvice(StepRecord &Step, std::vector<std::string> Vms,
                      bool Renewal);
+  /// \returns the expected latency of a call that names \p Vms VMs, in
+  /// milliseconds.
   double expectedLatencyMs(const StepRecord &Step, std::size_t Vms) const;
 
   PoolTables &Tables_;
--- a/packages/pool/src/Forecast.cpp
+++ b/packages/pool/src/Forecast.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Expected ends are late rather than early: the next one counts as this far
-/// away at least.
+/// Runs tend to end later than expected, so a run that has not ended yet is
+/// expected to take at least this much longer.
 constexpr milliseconds MinRemaining{50};
 
+/// Counts how many tasks fit in one dimension of a capacity.
 std::int64_t fits(std::int64_t Free, std::int64_t Need) {
   if (Need <= 0)
     return std::numeric_limits<int>::max();
--- a/packages/pool/src/JobPlan.cpp
+++ b/packages/pool/src/JobPlan.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Bounds that keep one job from taking a daemon's memory; far above the widest
-/// jobs that are known.
+/// Bounds that keep one job from exhausting a daemon's memory; far above the
+/// largest known jobs.
 constexpr int MaxTasksPerStep = 5000;
 constexpr std::size_t MaxSteps = 500;
 constexpr int MaxOccurrences = 1'000'000;
-/// Largest figure of a size or a time.
+/// Upper bound of sizes, and of times in milliseconds.
 constexpr std::int64_t MaxNumber = 1'000'000'000'000;
 
 bool isAllowedNumber(std::int64_t Value) {
@@ -62,7 +62,7 @@
                      {"c", Step.PerTask.MilliCores},
                      {"m", Step.PerTask.MemoryMb},
                      {"e", Step.Estimate.count()}};
-  // Most fields of most steps have their default.
+  // Fields with their default value are omitted; that is most of them.
   if (Step.PerTask.Accelerators != 0)
     Out["a"] = Step.PerTask.Accelerators;
   if (!Step.DependsOn.empty())
--- a/packages/pool/src/JobProgress.cpp
+++ b/packages/pool/src/JobProgress.cpp
@@ -8,9 +8,13 @@
 
 namespace {
 
+/// Indexed by JobStage.
 constexpr std::array<std::string_view, 5> StageNames{
     "queued", "running", "completed", "failed", "cancelled"};
 
+// Rows of the store hold arrays without field names, and only the index of a
+// task, step or occurrence that is done, to keep them small.
+
 nlohmann::json taskToJson(const TaskProgress &Task) {
   if (Task.Done)
     return Task.Index;
@@ -54,7 +58,7 @@
   Out.GangFailures = Input.at(1).get<int>();
   for (const nlohmann::json &Task : Input.at(2))
     Out.Tasks.push_back(taskFromJson(Task));
-  // Rows of earlier versions end here.
+  // Rows of earlier versions lack this field.
   if (Input.size() > 3)
     Out.GangFailedRun = Input.at(3).get<std::int64_t>();
   return Out;
--- a/packages/pool/src/PoolRecords.h
+++ b/packages/pool/src/PoolRecords.h
@@ -14,9 +14,9 @@
 #include "cuminroad/pool/PoolVm.h"
 #include "cuminroad/pool/QueueTerms.h"
 
-// The pool scheduler's state. A job owns its occurrences, they own their steps,
-// and those their tasks; pointers upwards and to VMs stay valid, since records
-// are never moved.
+// State of the pool scheduler. A job owns its occurrences, an occurrence owns
+// its steps, and a step owns its tasks. Pointers to owners and to VMs stay
+// valid because records are never moved.
 
 namespace cuminroad {
 
@@ -25,14 +25,14 @@
 struct StepRecord;
 struct VmRecord;
 
-/// Where a task is.
+/// Phase of a task.
 enum class TaskPhase {
   Waiting,
-  /// A VM was chosen; the start may have reached it.
+  /// A VM was chosen; the start command may have reached it.
   Placed,
-  /// The VM confirmed the run.
+  /// The VM has confirmed the run.
   Running,
-  /// The end of the run was asked for.
+  /// A stop of the run was requested.
   Stopping,
   Done,
 };
@@ -42,31 +42,34 @@
   int Index = 0;
   TaskPhase Phase = TaskPhase::Waiting;
   int Failures = 0;
-  /// The last run that may have been started.
+  /// Number of the last run that may have been started.
   std::int64_t Run = 0;
   /// Set in the phases Placed, Running and Stopping.
   VmRecord *Vm = nullptr;
   std::string Checkpoint;
   TimePoint PlacedAt{};
-  /// When the VM first confirmed the run, or that it will never come. The
-  /// earliest time for a run that an earlier owner started.
+  /// When the VM first confirmed that the run started or that it never will;
+  /// TimePoint::min() for a run that an earlier owner started.
   std::optional<TimePoint> ConfirmedAt;
-  /// When Percent last changed.
+  /// When ProgressPercent last changed.
   TimePoint ProgressedAt{};
+  /// As last reported; -1 before the first report of the run.
   int ProgressPercent = -1;
+  /// See RunningTask::Measurement.
   double Measurement = 0;
+  /// As last commanded with ThrottleRun.
   int SpeedPercent = 100;
-  /// Not placed again before.
+  /// The task must not be placed again before this time.
   TimePoint NotPlacedBefore{};
 
   bool isOnVm() const { return Vm != nullptr; }
 };
 
-/// What the advisor said of one VM.
+/// The advisor's ticket for one VM.
 struct TicketRecord {
   std::string Ticket;
   TimePoint ValidUntil{};
-  /// The life of the VM that the ticket is for.
+  /// The incarnation of the VM for which the ticket was issued.
   std::int64_t VmIncarnation = 0;
 };
 
@@ -76,25 +79,30 @@
   int Number = 0;
   std::vector<TaskRecord> Tasks;
   int DoneTasks = 0;
+  /// Number of tasks in the phases Placed, Running and Stopping.
   int TasksOnVms = 0;
   int GangFailures = 0;
-  /// The last run of the gang that was counted as failed.
+  /// Number of the last run of the gang that was counted as failed.
   std::int64_t GangFailedRun = 0;
-  /// Tasks that wait, so that a pass need not look for them.
+  /// Number of tasks in the phase Waiting, so that a pass need not count them.
   int WaitingTasks = 0;
-  /// The VMs that may run the step, once the advisor was asked.
+  /// VMs that the advisor allows for the step, with their tickets.
   std::map<VmRecord *, TicketRecord> AllowedVms;
-  /// VMs that the advisor was asked about, and their lives.
+  /// VMs named in advice requests that were answered, with their incarnations.
   std::unordered_map<const VmRecord *, std::int64_t> QueriedVms;
-  /// PoolTables::VmsVersion when the step's VMs were last looked through.
+  /// PoolTables::VmsVersion when the VMs were last checked for new ones; -1 to
+  /// check again.
   std::int64_t SeenVmsVersion = -1;
+  /// An advice request has not been answered yet.
   bool AdvicePending = false;
-  /// The VMs that the last pass kept for the step, and from when on.
+  /// VMs that the last pass reserved for the step, and from when on.
   std::vector<VmRecord *> ReservedVms;
   TimePoint ReservationStart{};
-  /// Set at each pass in which the step could not be placed whole.
+  /// Whether the last pass left some tasks of the step unplaced for lack of
+  /// VMs.
   bool Blocked = false;
-  /// Since when it has been so, and when that is to be logged next.
+  /// Since when the step has been blocked, and for how long it must have been
+  /// blocked for the next log entry.
   std::optional<TimePoint> BlockedSince;
   milliseconds NextBlockedReport{0};
 
@@ -114,15 +122,17 @@
   JobPlan Plan;
   QueueTerms Terms;
   TimePoint AcceptedAt{};
-  /// The longest chain of estimated work, with one call for advice a step.
+  /// Estimated length of the critical path; see criticalPath().
   milliseconds CriticalPath{0};
   JobStage Stage = JobStage::Queued;
   std::map<int, std::unique_ptr<OccurrenceRecord>> Occurrences;
   std::set<int> DoneOccurrences;
-  /// Occurrences that have become due so far.
+  /// Number of occurrences that have become due.
   int CreatedOccurrences = 0;
+  /// Whether any task was placed.
   bool Started = false;
 
+  /// \returns the time within which an occurrence should complete.
   milliseconds objective() const {
     return milliseconds(static_cast<std::int64_t>(
                Terms.Stretch * static_cast<double>(CriticalPath.count()))) +
@@ -132,41 +142,42 @@
 
 struct VmRecord {
   PoolVm Description;
-  /// Its lease is held, and all that runs on it is known.
+  /// The VM's lease is held and all its runs are known.
   bool LeaseHeld = false;
   bool Listed = true;
-  /// The life that the last report was of; 0 before the first.
+  /// The incarnation of the last report; 0 before the first.
   std::int64_t ReportedIncarnation = 0;
   Capacity Used;
   std::set<TaskRecord *> Tasks;
-  /// Runs on the VM that belong to no unfinished task; they are being stopped.
+  /// Runs on the VM that belong to no unfinished task, with the capacity that
+  /// they occupy; they are being stopped.
   std::map<TaskRun, Capacity> UnknownRuns;
   int ConsecutiveFailures = 0;
   TimePoint QuarantinedAt{};
   TimePoint QuarantinedUntil{};
   milliseconds QuarantineDuration{0};
-  /// Not tried before, while in quarantine.
+  /// Earliest time of the next probe while in quarantine.
   TimePoint NextProbe{};
-  /// Measured run time against the estimate, smoothed; 1 is as estimated.
+  /// Smoothed ratio of measured to estimated run times.
   double Slowdown = 1.0;
-  /// Within a pass: kept for a blocked step until then, but for work that ends
-  /// before or fits beside it.
+  /// Within a pass: the VM is reserved for a blocked step from this time on.
+  /// Other tasks may only use it if they end earlier or fit beside the step.
   std::optional<TimePoint> ReservationStart;
-  /// Room at that time beside the blocked step.
+  /// Capacity left beside the blocked step from ReservationStart on.
   Capacity BackfillRoom;
-  /// Fillers are held back at least until then.
+  /// Best-effort tasks are paused at least until this time.
   TimePoint ThrottledUntil{};
   milliseconds ThrottleDuration{0};
 
   Capacity freeCapacity() const { return Description.Total - Used; }
-  /// Whether it may get new work, quarantine aside.
+  /// \returns whether the VM may get new tasks, regardless of quarantine.
   bool acceptsWork() const {
     return LeaseHeld && Listed && !Description.Leaving;
   }
   bool inQuarantine(TimePoint Now) const { return Now < QuarantinedUntil; }
 };
 
-/// Whether the VM, when empty, could hold a task of the step.
+/// \returns whether the VM, if empty, could run a task of the step.
 inline bool canHost(const StepPlan &Plan, const VmRecord &Vm) {
   return Plan.reservedCapacity().fitsIn(Vm.Description.Total) &&
          (Plan.RequiredLabel.empty() ||
--- a/packages/pool/src/PoolSchedulerImpl.h
+++ b/packages/pool/src/PoolSchedulerImpl.h
@@ -6,7 +6,7 @@
 
 namespace cuminroad {
 
-/// The events of PoolScheduler on PoolTables.
+/// Implements the events of PoolScheduler on PoolTables.
 class PoolSchedulerImpl final : public PoolScheduler {
 public:
   PoolSchedulerImpl(const Clock &MonotonicClock, const WallClock &SystemClock,
@@ -59,35 +59,47 @@
   JobRecord &insertJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt);
   void restoreOccurrence(JobRecord &Job, const OccurrenceProgress &Progress);
   void restoreTask(StepRecord &Step, const TaskProgress &Progress);
-  /// The present run of \p Run's task, if it is the one meant and on \p Vm.
+  /// \returns the task of \p Run if that is its current run and on \p Vm, or
+  /// nullptr.
   TaskRecord *findCurrentTask(const VmRecord *Vm, const TaskRun &Run) const;
+  /// Releases a task whose run was lost, and stops the other members of a gang.
   void loseRun(TaskRecord &Task, std::string_view Reason);
+  /// All runs on the VM have ended without a report.
   void clearVm(VmRecord &Vm, std::string_view Reason);
+  /// Commands the VM to stop the task's current run.
   void stopTask(TaskRecord &Task);
   void applyRunReport(VmRecord &Vm, const RunningTask &Report);
+  /// Loses the runs that are missing from a VM's report, except those whose
+  /// start may have reached the VM after the report was requested.
   void loseMissingRuns(VmRecord &Vm, std::span<const RunningTask> Running,
                        TimePoint RequestedAt, std::string_view Reason);
   void recordCheckpoint(TaskRecord &Task, const std::string &Checkpoint);
-  /// Counts the failure of a task that is on its VM against the VM.
+  /// Counts a failure of a task against its VM, and quarantines the VM after
+  /// too many consecutive ones.
   void recordVmFailure(const TaskRecord &Task);
   void stopTasksOfLeavingVm(VmRecord &Vm);
+  /// Pauses the VM's best-effort tasks while a latency-sensitive task is near
+  /// its target, and resumes them later.
   void throttleBestEffortTasks(VmRecord &Vm);
   void setSpeed(TaskRecord &Task, int SpeedPercent);
 
   void runEnded(TaskRecord &Task, const TaskEnd &End, VmRecord &Vm);
   void runSucceeded(TaskRecord &Task, VmRecord &Vm);
-  /// An end as done of a run that was given up: it counts all the same.
+  /// An abandoned run has ended as done: its task is done all the same.
   void earlierRunSucceeded(const TaskRun &Run);
-  /// Stops the task's run, if it has one, as one that nobody waits for.
+  /// Turns the task's current run, if any, into an unknown run and stops it.
   void abandonRun(TaskRecord &Task);
-  /// Stops a run that belongs to no unfinished task; it takes room until then.
+  /// Stops a run that belongs to no unfinished task; it occupies \p Size of the
+  /// VM's capacity until it has ended.
   void stopUnknownRun(VmRecord &Vm, const TaskRun &Run, const Capacity &Size);
   void finishTask(TaskRecord &Task);
   void runFailed(TaskRecord &Task);
+  /// Updates the VM's slowdown with the run time of a task that is done.
   void updateSlowdown(const TaskRecord &Task, VmRecord &Vm) const;
   void finishOccurrence(OccurrenceRecord &Occurrence);
   void finishJob(JobRecord &Job, JobStage Stage);
-  /// Moves a finished job with nothing on VMs out of the way.
+  /// Discards the records of a finished job, except its final stage, once none
+  /// of its tasks is on a VM.
   void archiveFinishedJob(JobRecord &Job);
   void createDueOccurrences();
   void stopStuckTasks();
--- a/packages/pool/src/PoolSchedulerJobs.cpp
+++ b/packages/pool/src/PoolSchedulerJobs.cpp
@@ -1,4 +1,4 @@
-// Jobs: how they come, and how they end.
+// Events and queries about jobs.
 #include "PoolSchedulerImpl.h"
 
 #include <algorithm>
@@ -88,7 +88,7 @@
   VmRecord &Vm = Tables_.findOrCreateVm(Progress.Vm);
   if (Vm.Description.Incarnation == 0)
     Vm.Description.Incarnation = Progress.VmIncarnation;
-  // A later life of the VM has nothing of this run.
+  // The run doesn't exist in a later incarnation of the VM.
   if (Vm.Description.Incarnation != Progress.VmIncarnation)
     return;
   Task.PlacedAt = MonotonicClock_.now();
@@ -123,7 +123,7 @@
   const int All = std::max(Job.Plan.Occurrences, 1);
   if (static_cast<int>(Job.DoneOccurrences.size()) == All)
     return finishJob(Job, JobStage::Completed);
-  // Nothing of it is on a VM, since all its tasks are done.
+  // No task is on a VM, since all of them are done.
   Job.Occurrences.erase(Occurrence.Number);
 }
 
--- a/packages/pool/src/PoolSchedulerRuns.cpp
+++ b/packages/pool/src/PoolSchedulerRuns.cpp
@@ -1,4 +1,4 @@
-// Runs of tasks: how starts are answered, how runs end, and advice.
+// Events about runs of tasks and about advice, and the scheduling pass.
 #include "PoolSchedulerImpl.h"
 
 #include <algorithm>
@@ -11,15 +11,16 @@
 
 namespace {
 
-/// Weight of the newest run in a VM's smoothed slowness.
+/// Weight of the newest run in the exponential smoothing of a VM's slowdown.
 constexpr double SlowdownSmoothing = 0.15;
-/// Estimates are off by up to a factor of this order; a single run says no
-/// more.
+/// Bounds of the ratio of a single run's time to its estimate: estimates are
+/// off by factors of this order, so a larger ratio says nothing more about the
+/// VM.
 constexpr double MinSlowdown = 0.4;
 constexpr double MaxSlowdown = 4.0;
-/// How often tasks are looked through for those that stand still.
+/// Interval between checks for tasks that make no progress.
 constexpr milliseconds StuckCheckInterval{250};
-/// Progress of a serving task that is at work.
+/// Progress that a long-running task reports while it is ready.
 constexpr int ReadyPercent = 100;
 
 } // namespace
@@ -141,7 +142,7 @@
 void PoolSchedulerImpl::finishTask(TaskRecord &Task) {
   StepRecord &Step = *Task.Step;
   Tables_.finish(Task);
-  // The members of a gang end together; one end stands for all.
+  // The members of a gang complete together, so one completion counts for all.
   if (Step.Plan->Gang)
     for (TaskRecord &Member : Step.Tasks)
       if (Member.Phase != TaskPhase::Done)
@@ -168,7 +169,7 @@
   if (!Step.Plan->Gang) {
     Failures = ++Task.Failures;
   } else if (Task.Run > Step.GangFailedRun) {
-    // Other members that fail in this run count no more.
+    // Failures of other members in the same run are not counted.
     Step.GangFailedRun = Task.Run;
     Failures = ++Step.GangFailures;
   }
@@ -184,8 +185,8 @@
   TaskRecord *Task = findCurrentTask(Vm, Run);
   if (Task == nullptr)
     return;
-  // An old run was started by an earlier try of the order, and may have ended:
-  // the VM's lists tell.
+  // An old run was started by an earlier attempt to send the command and may
+  // have ended since; the VM's reports will show that.
   if (Outcome == StartOutcome::Accepted || Outcome == StartOutcome::OldRun) {
     if (Task->Phase == TaskPhase::Placed)
       Tables_.setPhase(*Task, TaskPhase::Running);
@@ -208,7 +209,7 @@
 
 void PoolSchedulerImpl::stopAnswered(std::string_view Id, const TaskRun &Run) {
   TaskRecord *Task = findCurrentTask(Tables_.vm(Id), Run);
-  // The VM now refuses the run, if it was not there.
+  // If the run had not started, the VM now refuses to start it.
   if (Task != nullptr && !Task->ConfirmedAt)
     Task->ConfirmedAt = MonotonicClock_.now();
 }
@@ -221,7 +222,7 @@
   if (Step == nullptr)
     return;
   Step->AdvicePending = false;
-  // A question that was dropped has yet to be asked.
+  // The request was dropped: it must be made again.
   if (QueriedVms.empty())
     Step->SeenVmsVersion = -1;
   for (const std::string &Id : QueriedVms)
--- a/packages/pool/src/PoolSchedulerVms.cpp
+++ b/packages/pool/src/PoolSchedulerVms.cpp
@@ -1,4 +1,4 @@
-// VMs: what they report, and what is done about it.
+// Events and queries about VMs.
 #include "PoolSchedulerImpl.h"
 
 #include <algorithm>
@@ -7,17 +7,19 @@
 
 namespace {
 
-/// A serving task counts as near its target from this share of it; the tail
-/// moves within seconds.
+/// A latency-sensitive task is near its target from this share of it on. The
+/// margin is needed because the tail response time can rise within seconds.
 constexpr double NearTargetShare = 0.85;
-/// Fillers work again when the tail is below this share of the target.
+/// Best-effort tasks resume when the tail response time is below this share of
+/// the target.
 constexpr double WellBelowTargetShare = 0.6;
-/// How long fillers are held back at first; doubles each time up to the last.
+/// For how long best-effort tasks are paused at first; this doubles each time
+/// up to the maximum.
 constexpr milliseconds MinThrottleDuration{2000};
 constexpr milliseconds MaxThrottleDuration{16000};
 constexpr int FullSpeedPercent = 100;
 constexpr int PausedPercent = 0;
-/// A task this close to its end is left to end on a VM that leaves.
+/// A task with less expected time remaining is not moved off a leaving VM.
 constexpr milliseconds MinRemainingToMove{1500};
 
 void forgetUnknownRuns(VmRecord &Vm) {
@@ -30,8 +32,8 @@
 
 void PoolSchedulerImpl::vmListed(const PoolVm &Listed) {
   VmRecord &Vm = Tables_.findOrCreateVm(Listed.Id);
-  // What runs in a new life is known from its first report: a start may have
-  // reached it.
+  // A start may have reached the new incarnation, so its runs are only known
+  // from its first report.
   if (Vm.Description.Incarnation != 0 &&
       Vm.Description.Incarnation != Listed.Incarnation)
     Vm.LeaseHeld = false;
@@ -82,8 +84,8 @@
                                        const RunningTask &Report) {
   TaskRecord *Task = findCurrentTask(&Vm, Report.Run);
   if (Task == nullptr) {
-    // Nobody waits for this run, for instance since its job was cancelled
-    // under an earlier owner. It takes room until it is gone.
+    // The run is not current, for example because its job was cancelled under
+    // an earlier owner. It occupies capacity until it has ended.
     const StepRecord *Step = Tables_.step(Report.Run.Task.Step);
     stopUnknownRun(Vm, Report.Run,
                    Step != nullptr ? Step->Plan->reservedCapacity()
@@ -91,7 +93,7 @@
     return;
   }
   const TimePoint Now = MonotonicClock_.now();
-  // An unhealthy VM may have refused the stop for as long as it was tried.
+  // Repeat the stop: an unhealthy VM may have refused all attempts to send it.
   if (Task->Phase == TaskPhase::Stopping)
     Tables_.Commands.push_back(StopRun{Vm.Description.Id, Report.Run});
   if (Task->Phase == TaskPhase::Placed)
@@ -118,7 +120,7 @@
   if (Checkpoint.empty() || Checkpoint == Task.Checkpoint)
     return;
   Task.Checkpoint = Checkpoint;
-  // All members of a gang must start from the same one.
+  // All members of a gang must start from the same checkpoint.
   if (Task.Step->Plan->Gang)
     for (TaskRecord &Member : Task.Step->Tasks)
       Member.Checkpoint = Checkpoint;
@@ -133,7 +135,7 @@
     ReportedTasks.insert(findCurrentTask(&Vm, Report.Run));
   const std::vector<TaskRecord *> Tasks(Vm.Tasks.begin(), Vm.Tasks.end());
   for (TaskRecord *Task : Tasks) {
-    // A start that was not answered yet may still be on its way.
+    // A start that the VM has not confirmed may still reach it.
     const bool ConfirmedBeforeRequest =
         Task->ConfirmedAt && *Task->ConfirmedAt < RequestedAt;
     if (ConfirmedBeforeRequest && !ReportedTasks.contains(Task))
@@ -218,7 +220,7 @@
   JobRecord &Job = *Task.Step->Occurrence->Job;
   StepRecord &Step = *Task.Step;
   Tables_.release(Task);
-  // The other members can't work on without it.
+  // The other members of the gang make no progress without it.
   if (Step.Plan->Gang && !isFinal(Job.Stage))
     for (TaskRecord &Member : Step.Tasks)
       if (Member.isOnVm())
@@ -229,7 +231,7 @@
 void PoolSchedulerImpl::recordVmFailure(const TaskRecord &Task) {
   VmRecord &Vm = *Task.Vm;
   const TimePoint Now = MonotonicClock_.now();
-  // A VM that hangs fails all that it ran: that is one trouble, not many.
+  // A VM that hangs fails all its runs at once; that counts as one failure.
   if (Vm.inQuarantine(Now) && Task.PlacedAt < Vm.QuarantinedAt)
     return;
   if (++Vm.ConsecutiveFailures < Options_.FailuresToQuarantine)
@@ -241,7 +243,7 @@
   Vm.QuarantinedUntil = Now + Vm.QuarantineDuration;
   Tables_.Diagnostics.Quarantines.push_back(
       VmQuarantine{Vm.Description.Id, Vm.QuarantineDuration});
-  // One failure more after it sends the VM back at once.
+  // A single failure after the quarantine starts the next one.
   Vm.ConsecutiveFailures = Options_.FailuresToQuarantine - 1;
 }
 
--- a/packages/pool/src/PoolTables.cpp
+++ b/packages/pool/src/PoolTables.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// VMs that one call for advice names in the statement of the objective.
+/// Number of VMs in a call to the advisor that the latency objective assumes.
 constexpr double ObjectiveAdviceVms = 30;
 
 template <typename Map> auto *lookUp(const Map &In, std::string_view Id) {
--- a/packages/pool/src/PoolTables.h
+++ b/packages/pool/src/PoolTables.h
@@ -15,52 +15,57 @@
 
 namespace cuminroad {
 
-/// Jobs and VMs, and the moves of tasks between them. Holds the accounts of
-/// what each VM has taken; every change of a task's phase goes through here.
+/// Tables of jobs and VMs. All changes of a task's phase or VM go through this
+/// class, which keeps the used capacity of each VM up to date.
 class PoolTables {
 public:
   using JobMap = std::map<std::string, std::unique_ptr<JobRecord>, std::less<>>;
   using VmMap = std::map<std::string, std::unique_ptr<VmRecord>, std::less<>>;
 
+  // The lookups return nullptr if there is no such record.
   JobRecord *job(std::string_view Id) const;
   VmRecord *vm(std::string_view Id) const;
   VmRecord &findOrCreateVm(std::string_view Id);
   StepRecord *step(const StepName &Name) const;
   TaskRecord *task(const TaskName &Name) const;
-  /// Makes the records of an occurrence, all of whose tasks wait.
+  /// Creates the records of an occurrence, with all tasks waiting.
   OccurrenceRecord &createOccurrence(JobRecord &Job, int Number, TimePoint Due);
 
-  /// A waiting task takes room on a VM under a new run.
+  /// Places a waiting task on a VM under a new run number.
   void place(TaskRecord &Task, VmRecord &Vm, std::int64_t Run, TimePoint Now);
-  /// A task is known to be, or to have been, on a VM.
+  /// Assigns a task to a VM and accounts for its capacity.
   void assign(TaskRecord &Task, VmRecord &Vm, TaskPhase Phase);
-  /// The task's run has certainly ended; it gives its room back and waits.
+  /// Releases the task's capacity after its run has certainly ended; the task
+  /// waits again unless it is done.
   void release(TaskRecord &Task);
-  /// The task is done; gives its room back, if it has any.
+  /// Marks the task as done and releases its capacity, if it holds any.
   void finish(TaskRecord &Task);
   void setPhase(TaskRecord &Task, TaskPhase Phase);
 
+  /// The job's progress must be persisted.
   void markChanged(const JobRecord &Job) { ChangedJobs.insert(Job.Plan.Id); }
 
-  /// Unfinished jobs, and finished ones with runs that have not ended yet.
+  /// Unfinished jobs, and finished jobs with runs that have not ended yet.
   JobMap Jobs;
+  /// Final stages of the other finished jobs.
   std::map<std::string, JobStage, std::less<>> FinishedJobs;
   VmMap Vms;
-  /// Rises when a VM comes, changes or takes work again.
+  /// Increases when a VM is added, changes or accepts work again.
   std::int64_t VmsVersion = 0;
   std::set<std::string> ChangedJobs;
   std::vector<PoolCommand> Commands;
   PoolDiagnostics Diagnostics;
 };
 
-/// \returns the task's name for messages.
+/// \returns the name that identifies the record in commands and messages.
 TaskName nameOf(const TaskRecord &Task);
 StepName nameOf(const StepRecord &Step);
-/// Whether all steps that \p Step follows are done.
+/// \returns whether all dependencies of \p Step are done.
 bool isReady(const StepRecord &Step);
-/// \returns the longest chain of estimated work of \p Plan.
+/// \returns the estimated length of the critical path of \p Plan, including one
+/// call to the advisor for each step if the queue needs advice.
 milliseconds criticalPath(const JobPlan &Plan, const QueueTerms &Terms);
-/// What must last of a job.
+/// \returns the progress of a job to persist.
 JobProgress progressOf(const JobRecord &Job);
 
 } // namespace cuminroad
--- a/packages/pool/src/SchedulingPass.cpp
+++ b/packages/pool/src/SchedulingPass.cpp
@@ -8,25 +8,29 @@
 
 namespace {
 
-// Weights of a placement's score. Room left over is the base, from 0 to 1; the
-// others are set against it.
-/// Accelerators are the scarce part of VMs that have them.
+// Weights of the terms of a placement's score. They are relative to the share
+// of the VM's CPU that is left after the placement, from 0 to 1.
+/// Accelerators are the scarcest resource of the VMs that have them.
 constexpr double AcceleratorWeight = 2.0;
-/// Work that takes longer costs more than a looser fit.
+/// A longer run time costs more than a looser fit.
 constexpr double SlowdownWeight = 0.7;
+/// For VMs outside of the rack with the step's data.
 constexpr double RemoteWeight = 3.0;
-/// Fillers disturb serving tasks: a VM with the other kind comes last.
+/// Best-effort tasks slow down latency-sensitive tasks, so a VM with tasks of
+/// the other kind is chosen last.
 constexpr double ConflictWeight = 10.0;
-/// Tasks of a long-running step are spread, so that one VM's end hits few.
+/// Spreads the tasks of a long-running step, so that the loss of a VM affects
+/// few of them.
 constexpr double SpreadWeight = 0.5;
-/// A VM in quarantine is tried only where no other VM would do.
+/// A VM in quarantine is only probed if no other VM is usable.
 constexpr double QuarantineWeight = 100.0;
-/// A step that is blocked for this long is logged; then at each doubling.
+/// A step blocked for this long is logged, and again each time this doubles.
 constexpr milliseconds FirstBlockedReport{1000};
-/// Estimates are often too low; reserved VMs are not used by work that may
-/// overrun.
+/// Run time estimates are often too low. A task is only backfilled onto a
+/// reserved VM if this multiple of its estimate ends before the reservation.
 constexpr double BackfillMargin = 1.3;
 
+/// Counts the tasks of the step on the VM.
 int tasksOnVm(const StepRecord &Step, const VmRecord &Vm) {
   if (Step.TasksOnVms == 0)
     return 0;
@@ -35,7 +39,8 @@
       [&Step](const TaskRecord *Task) { return Task->Step == &Step; }));
 }
 
-/// Whether the VM runs tasks that the step's would disturb or be disturbed by.
+/// \returns whether the VM has best-effort tasks and the step is
+/// latency-sensitive, or the other way round.
 bool conflicts(const StepRecord &Step, const VmRecord &Vm) {
   if (!Step.Plan->BestEffort && !Step.Plan->isLatencySensitive())
     return false;
@@ -109,7 +114,7 @@
     Report.VmsWithRoom +=
         Step.Plan->reservedCapacity().fitsIn(Vm->freeCapacity());
   }
-  forEachAvailableVm(Step,
+  forEachPermittedVm(Step,
                      [&Report](const VmRecord &) { ++Report.VmsWithTicket; });
   Tables_.Diagnostics.BlockedSteps.push_back(std::move(Report));
 }
@@ -131,7 +136,7 @@
 }
 
 template <typename F>
-void SchedulingPass::forEachAvailableVm(const StepRecord &Step, F Visit) const {
+void SchedulingPass::forEachPermittedVm(const StepRecord &Step, F Visit) const {
   if (!Step.Occurrence->Job->Terms.Advice) {
     for (VmRecord *Vm : AvailableVms_)
       Visit(*Vm);
@@ -157,7 +162,7 @@
     return;
   }
   std::vector<ScoredVm> FittingVms;
-  forEachAvailableVm(Step, [&](VmRecord &Vm) {
+  forEachPermittedVm(Step, [&](VmRecord &Vm) {
     if (isEligible(Step, Vm) && canPlaceTask(Step, Vm))
       FittingVms.push_back(ScoredVm{score(Step, Vm), &Vm});
   });
@@ -185,7 +190,7 @@
 void SchedulingPass::placeGang(StepRecord &Step) {
   std::int64_t LastRun = 0;
   for (const TaskRecord &Task : Step.Tasks) {
-    // Members of an earlier run may still be there.
+    // Members of an earlier run may still be on VMs.
     if (Task.Phase != TaskPhase::Waiting || Task.NotPlacedBefore > Now_)
       return;
     LastRun = std::max(LastRun, Task.Run);
@@ -216,7 +221,7 @@
 bool SchedulingPass::chooseGangVms(StepRecord &Step, std::string_view Rack,
                                    std::vector<VmRecord *> &ChosenVms) {
   std::vector<ScoredVm> UsableVms;
-  forEachAvailableVm(Step, [&](VmRecord &Vm) {
+  forEachPermittedVm(Step, [&](VmRecord &Vm) {
     if (isEligible(Step, Vm) && reservationAllows(Step, Vm) &&
         (Rack.empty() || Vm.Description.hasLabel(Rack)))
       UsableVms.push_back(ScoredVm{score(Step, Vm), &Vm});
@@ -269,9 +274,9 @@
     return true;
   if (Step.Plan->LongRunning)
     return false;
-  const auto Length = std::chrono::duration_cast<milliseconds>(
+  const auto ExpectedRunTime = std::chrono::duration_cast<milliseconds>(
       Step.Plan->Estimate * BackfillMargin * Vm.Slowdown);
-  return Now_ + Length <= *Vm.ReservationStart;
+  return Now_ + ExpectedRunTime <= *Vm.ReservationStart;
 }
 
 double SchedulingPass::score(const StepRecord &Step, const VmRecord &Vm) const {
@@ -331,7 +336,7 @@
 void SchedulingPass::reserveVms(StepRecord &Step) {
   const bool NeedsAdvice = Step.Occurrence->Job->Terms.Advice.has_value();
   std::vector<VmRecord *> UsableVms;
-  std::vector<TimePoint> Times{Now_};
+  std::vector<TimePoint> CandidateTimes{Now_};
   for (VmRecord *Vm : AvailableVms_) {
     if (!isEligible(Step, *Vm) || Vm->ReservationStart ||
         (NeedsAdvice && !Step.AllowedVms.contains(Vm)))
@@ -340,21 +345,21 @@
     for (const TaskRecord *Task : Vm->Tasks)
       if (const TimePoint End = expectedEnd(*Task, Now_);
           End != TimePoint::max())
-        Times.push_back(End);
+        CandidateTimes.push_back(End);
   }
   const int WantedTasks =
       Step.Plan->Gang ? static_cast<int>(Step.Tasks.size()) : 1;
-  const auto Enough = [&](TimePoint When) {
+  const auto EnoughRoom = [&](TimePoint When) {
     int FittingTasks = 0;
     for (const VmRecord *Vm : UsableVms)
       FittingTasks += std::min(countFitsAt(Step, *Vm, When), WantedTasks);
     return FittingTasks >= WantedTasks;
   };
-  std::sort(Times.begin(), Times.end());
-  const auto EarliestStart =
-      std::partition_point(Times.begin(), Times.end(),
-                           [&Enough](TimePoint When) { return !Enough(When); });
-  if (EarliestStart == Times.end())
+  std::sort(CandidateTimes.begin(), CandidateTimes.end());
+  const auto EarliestStart = std::partition_point(
+      CandidateTimes.begin(), CandidateTimes.end(),
+      [&EnoughRoom](TimePoint When) { return !EnoughRoom(When); });
+  if (EarliestStart == CandidateTimes.end())
     return;
   ++ReservationCount_;
   std::vector<std::pair<int, VmRecord *>> VmsByRoom;
@@ -374,7 +379,7 @@
     Vm->ReservationStart = *EarliestStart;
     Vm->BackfillRoom = freeCapacityAt(*Vm, *EarliestStart, Now_) -
                        Step.Plan->reservedCapacity() * TasksHere;
-    // What fits beside the step must also fit now.
+    // A task beside the step must fit now as well as then.
     Vm->BackfillRoom = smaller(Vm->BackfillRoom, Vm->freeCapacity());
     Step.ReservedVms.push_back(Vm);
     RemainingTasks -= TasksHere;
--- a/packages/pool/src/SchedulingPass.h
+++ b/packages/pool/src/SchedulingPass.h
@@ -8,8 +8,8 @@
 
 namespace cuminroad {
 
-/// One look at all steps that wait: places what fits, in order of urgency, and
-/// reserves VMs for the first ones that do not.
+/// One pass over all waiting steps: places the tasks that fit, in order of
+/// urgency, and reserves VMs for the first steps that are blocked.
 class SchedulingPass {
 public:
   SchedulingPass(PoolTables &Tables, const WaitingSteps &Waiting,
@@ -28,26 +28,39 @@
   void placeStep(StepRecord &Step);
   void placeTasks(StepRecord &Step);
   void placeGang(StepRecord &Step);
+  /// Chooses a VM for each member of a gang, from VMs with the label \p Rack,
+  /// or from all VMs if it is "".
+  /// \returns whether there is room for the whole gang.
   bool chooseGangVms(StepRecord &Step, std::string_view Rack,
                      std::vector<VmRecord *> &ChosenVms);
-  /// The most room in each part that any open VM has.
+  /// \returns an upper bound of any available VM's free capacity: the maximum
+  /// in each dimension.
   const Capacity &largestFreeCapacity();
-  /// Visits the open VMs that may run the step and, where it needs one, have a
-  /// ticket that holds long enough.
+  /// Visits the VMs that the step may use: those with a ticket that is valid
+  /// for long enough, or all available VMs if the queue needs no advice.
   template <typename F>
-  void forEachAvailableVm(const StepRecord &Step, F Visit) const;
-  /// Whether one more task of the step may go to the VM now.
+  void forEachPermittedVm(const StepRecord &Step, F Visit) const;
+  /// \returns whether an eligible VM has room for one more task of the step
+  /// now.
   bool canPlaceTask(const StepRecord &Step, const VmRecord &Vm) const;
-  /// Whether the VM may run tasks of the step at all, room aside.
+  /// \returns whether the VM may run tasks of the step, regardless of room.
   bool isEligible(const StepRecord &Step, const VmRecord &Vm) const;
-  /// Whether work of this length may use a reserved VM.
-  /// Whether the step may try the VM though it is in quarantine.
+  /// \returns whether the step may probe a VM in quarantine.
   bool mayProbe(const StepRecord &Step, const VmRecord &Vm) const;
+  /// \returns whether a reservation of the VM, if any, admits a task of the
+  /// step.
   bool reservationAllows(const StepRecord &Step, const VmRecord &Vm) const;
+  /// \returns the score of placing a task of the step on the VM; lower is
+  /// better.
   double score(const StepRecord &Step, const VmRecord &Vm) const;
   void startRun(TaskRecord &Task, VmRecord &Vm, std::int64_t Run);
+  /// Reserves VMs for a blocked step from the earliest time at which they are
+  /// expected to have room for it.
   void reserveVms(StepRecord &Step);
+  /// Adds a blocked step to the diagnostics, at increasing intervals.
   void reportBlocked(StepRecord &Step);
+  /// \returns how many tasks of the step the VM is expected to have room for at
+  /// \p When.
   int countFitsAt(const StepRecord &Step, const VmRecord &Vm,
                   TimePoint When) const;
 
@@ -55,8 +68,9 @@
   const WaitingSteps &Waiting_;
   const PoolOptions &Options_;
   TimePoint Now_;
-  /// VMs that take work.
+  /// VMs that accept work and are not in quarantine or may be probed.
   std::vector<VmRecord *> AvailableVms_;
+  /// Cached result of largestFreeCapacity(); placing a task invalidates it.
   Capacity LargestFree_;
   bool LargestFreeKnown_ = false;
   int ReservationCount_ = 0;
--- a/packages/pool/src/WaitingSteps.cpp
+++ b/packages/pool/src/WaitingSteps.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// The order in which steps get room and tickets: less goes first.
+/// The order in which steps get VMs and tickets; lower values go first.
 struct Urgency {
-  /// So late that it is of little value to its caller.
+  /// So late that the job is of little value to its client.
   bool VeryLate = false;
   int Priority = 0;
-  /// Behind its objective: those that can still meet theirs go first.
+  /// Past its deadline: steps that can still meet theirs go first.
   bool Late = false;
   TimePoint Deadline{};
 
@@ -23,7 +23,7 @@
   }
 };
 
-/// The urgency of all steps of an occurrence.
+/// \returns the urgency of all steps of an occurrence.
 Urgency urgencyOf(const OccurrenceRecord &Occurrence,
                   const PoolOptions &Options, TimePoint Now) {
   const JobRecord &Job = *Occurrence.Job;
@@ -31,7 +31,7 @@
   Urgency Out;
   Out.Priority = Job.Terms.Priority;
   Out.Deadline = Occurrence.Due + Objective;
-  // A job that lasts has no end that could be late.
+  // A long-running job does not end and so is never late.
   if (Job.Plan.isLongRunning())
     return Out;
   Out.Late = Now > Out.Deadline;
--- a/packages/pool/src/WaitingSteps.h
+++ b/packages/pool/src/WaitingSteps.h
@@ -8,11 +8,12 @@
 
 namespace cuminroad {
 
-/// The steps of unfinished jobs that have tasks to place, the most urgent
-/// first, and among them those that wait for earlier steps.
+/// The steps of unfinished jobs that have tasks to place, most urgent first.
+/// Includes steps whose dependencies are not done.
 struct WaitingSteps {
   std::vector<StepRecord *> Steps;
-  /// Steps, also of those that have nothing to place, with a question open.
+  /// Number of steps with a pending advice request, including steps with
+  /// nothing to place.
   int PendingAdvice = 0;
 };
 
--- a/packages/pool/tests/AdviceTest.cpp
+++ b/packages/pool/tests/AdviceTest.cpp
@@ -1,4 +1,4 @@
-// What is asked of the placement advisor, and when.
+// Tests which advice the scheduler requests, and when.
 
 #include <boost/test/unit_test.hpp>
 
@@ -21,7 +21,8 @@
   const std::vector<AdviceTicket> Tickets{{"v3", "t"}, {"v4", "t"}};
   Scheduler->adviceReceived(AdviceRequests[0].Step, AdviceRequests[0].Vms,
                             Tickets, MonotonicClock.now() + milliseconds(100));
-  // The ticket would expire on the way: a new one is asked for first.
+  // The tickets would expire before a start reaches the VM: new ones are
+  // requested first.
   runPass();
   BOOST_CHECK(Starts.empty());
   BOOST_REQUIRE_EQUAL(AdviceRequests.size(), 1);
@@ -49,9 +50,9 @@
 
 BOOST_FIXTURE_TEST_CASE(ticketsOfGangsWithReservedVmsAreRenewed,
                         SchedulerFixture) {
-  // Found as a pool that stood idle for 20 s at the end of a crowded day: room
-  // was kept for the gangs with the nearest deadlines, and tickets were renewed
-  // for those that had come first.
+  // Guards against a pool that was idle for 20 s after a period of high load:
+  // VMs were reserved for the gangs with the nearest deadlines, but tickets
+  // were renewed for the gangs that were submitted first.
   constexpr int Vms = 8;
   for (int Number = 0; Number < Vms; ++Number)
     addVm(makeVm("v" + std::to_string(Number), BigSize));
@@ -74,7 +75,7 @@
   };
   AddGangs("long", 40, 8000);
   AddGangs("short", 10, 500);
-  // Answers all questions after the advisor's time.
+  // Answers all advice requests after the advisor's latency.
   const auto Answer = [&] {
     const auto Requests = AdviceRequests;
     MonotonicClock.advance(milliseconds(120));
@@ -104,7 +105,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ticketsOfTheTightestVmsAreRenewed, SchedulerFixture) {
-  // Small tasks on empty VMs would keep those from gangs that need them whole.
+  // Small tasks placed on empty VMs would block gangs that need whole VMs.
   Options.MaxRenewedVms = 2;
   Scheduler = makePoolScheduler(MonotonicClock, SystemClock, Options);
   addVm(makeVm("tight1", BigSize));
--- a/packages/pool/tests/GangRunsTest.cpp
+++ b/packages/pool/tests/GangRunsTest.cpp
@@ -1,4 +1,4 @@
-// How the runs of a gang end, and what counts against its attempts.
+// Tests the ends of runs of gangs, and which failures count as attempts.
 
 #include <boost/test/unit_test.hpp>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A gang of two, and two VMs with room for one member each.
+/// A gang of two members, and two VMs with room for one member each.
 struct GangFixture : SchedulerFixture {
   GangFixture() {
     Gang.Gang = true;
--- a/packages/pool/tests/InvariantsTest.cpp
+++ b/packages/pool/tests/InvariantsTest.cpp
@@ -1,4 +1,5 @@
-// What must hold whatever comes.
+// Checks on random events that a task is on at most one VM and that a VM's
+// capacity is never exceeded.
 
 #include <algorithm>
 #include <map>
--- a/packages/pool/tests/PlacementTest.cpp
+++ b/packages/pool/tests/PlacementTest.cpp
@@ -1,4 +1,4 @@
-// What is placed, where and in which order.
+// Tests which tasks are placed, on which VMs and in which order.
 
 #include <boost/test/unit_test.hpp>
 
@@ -51,7 +51,7 @@
 
 BOOST_FIXTURE_TEST_CASE(onTimeJobIsPlacedBeforeLateJobOfItsQueue,
                         SchedulerFixture) {
-  // Overload: first come, first served would make every job late.
+  // Under overload, first come, first served would make every job late.
   addVm(makeVm("a", SmallSize));
   Scheduler->addJob(makeJob("old", {makeStep(1, SmallSize)}), makeQueue(),
                     MonotonicClock.now());
@@ -76,7 +76,8 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(wideGangIsNotStarvedBySmallTasks, SchedulerFixture) {
-  // Backfill alone would starve a gang that needs two whole VMs.
+  // Without reservations, small tasks would starve a gang that needs two whole
+  // VMs.
   const Capacity Whole{4000, 1000, 4};
   addVm(makeVm("a", Whole));
   addVm(makeVm("b", Whole));
@@ -119,7 +120,8 @@
   runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 2);
   BOOST_CHECK_EQUAL(Starts[0].Run.Number, Starts[1].Run.Number);
-  // One refused member takes the other with it; both start again, higher.
+  // If one member is refused, the other is stopped; both start again under a
+  // higher run number.
   acceptStart(Starts[1]);
   const auto First = Starts;
   Scheduler->startAnswered(First[0].Vm, First[0].Run, StartOutcome::Refused);
@@ -131,7 +133,7 @@
   BOOST_REQUIRE_EQUAL(Starts.size(), 2);
   BOOST_CHECK_EQUAL(Starts[0].Run.Number, 2);
   BOOST_CHECK_EQUAL(Starts[1].Run.Number, 2);
-  // One end as done stands for all.
+  // The completion of one member counts for all.
   endRun(Starts[0], RunOutcome::Done);
   BOOST_CHECK(Scheduler->stage("g") == JobStage::Completed);
 }
--- a/packages/pool/tests/QuarantineTest.cpp
+++ b/packages/pool/tests/QuarantineTest.cpp
@@ -1,4 +1,4 @@
-// VMs that fail what they start get nothing for a while, and then a little.
+// Tests the quarantine of VMs on which starts and runs fail, and its probes.
 
 #include <algorithm>
 
@@ -10,12 +10,13 @@
 
 namespace {
 
+/// A fixture with a queue that needs advice and allows many attempts.
 struct QuarantineFixture : SchedulerFixture {
   QuarantineFixture() {
     Queue.MaxAttempts = 100;
     Queue.Advice = AdviceTerms{milliseconds(100), 1.0, milliseconds(2000)};
   }
-  /// The VMs added so far refuse what they are sent until their quarantine is
+  /// Lets the VMs added so far refuse all starts, until their quarantine is
   /// long.
   void quarantineVms(int Vms, Capacity Size) {
     Scheduler->addJob(makeJob("bad", {makeStep(Vms, Size)}), makeQueue(),
@@ -30,7 +31,8 @@
     Scheduler->cancelJob("bad");
     MonotonicClock.advance(Options.MinProbeInterval);
   }
-  /// Passes until the time is over, and how many starts they made.
+  /// Runs passes for \p Span and answers all starts with \p Answer.
+  /// \returns the number of starts.
   int countStartsWithin(milliseconds Span, StartOutcome Answer) {
     int Out = 0;
     for (milliseconds Elapsed{0}; Elapsed < Span; Elapsed += Step) {
@@ -50,7 +52,8 @@
 } // namespace
 
 BOOST_FIXTURE_TEST_CASE(failingVmIsQuarantined, SchedulerFixture) {
-  // A VM that fails all that it starts would draw all work to itself.
+  // A VM on which all runs fail at once always has free capacity and would
+  // attract all tasks.
   addVm(makeVm("a", SmallSize));
   QueueTerms Queue = makeQueue();
   Queue.MaxAttempts = 100;
@@ -63,17 +66,17 @@
   }
   runPass();
   BOOST_CHECK(Starts.empty());
-  const PoolDiagnostics Notes = Scheduler->takeDiagnostics();
-  BOOST_REQUIRE_EQUAL(Notes.Quarantines.size(), 1);
-  BOOST_CHECK_EQUAL(Notes.Quarantines[0].Vm, "a");
-  BOOST_CHECK(Notes.Quarantines[0].Duration == Options.QuarantineMin);
+  const PoolDiagnostics Diagnostics = Scheduler->takeDiagnostics();
+  BOOST_REQUIRE_EQUAL(Diagnostics.Quarantines.size(), 1);
+  BOOST_CHECK_EQUAL(Diagnostics.Quarantines[0].Vm, "a");
+  BOOST_CHECK(Diagnostics.Quarantines[0].Duration == Options.QuarantineMin);
   MonotonicClock.advance(Options.QuarantineMin);
   runPass();
   BOOST_CHECK_EQUAL(Starts.size(), 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(simultaneousFailuresCountOnce, SchedulerFixture) {
-  // A VM that hangs fails all it runs at once; that is one trouble, not many.
+  // A VM that hangs fails all its runs at once; that counts as one failure.
   addVm(makeVm("a", BigSize));
   QueueTerms Queue = makeQueue();
   Queue.MaxAttempts = 100;
@@ -106,7 +109,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(blockedStepProbesAQuarantinedVm, QuarantineFixture) {
-  // The VM may be well long before its quarantine ends.
+  // The VM may have recovered long before its quarantine ends.
   addVm(makeVm("a", BigSize));
   quarantineVms(1, BigSize);
   Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
@@ -142,7 +145,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(lastAttemptProbesLater, QuarantineFixture) {
-  // Each failed run is one attempt less; the last one ends the job.
+  // Each failed run uses up an attempt, and the last one fails the job.
   addVm(makeVm("a", BigSize));
   quarantineVms(1, BigSize);
   QueueTerms Plain = makeQueue();
@@ -167,7 +170,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ticketsOfHealthyVmsAreRenewedFirst, QuarantineFixture) {
-  // Nothing runs on bad VMs: they would always have the most room.
+  // Nothing runs on VMs in quarantine, so they would always have the most room.
   for (int Number = 0; Number < Options.MaxRenewedVms; ++Number)
     addVm(makeVm("bad" + std::to_string(Number), BigSize));
   quarantineVms(Options.MaxRenewedVms, BigSize);
@@ -180,7 +183,8 @@
   for (const std::string &Vm : AdviceRequests[0].Vms)
     Tickets.push_back({Vm, "t"});
   BOOST_REQUIRE_EQUAL(Tickets.size(), Options.MaxRenewedVms + 1);
-  // All tickets expire on the way; the good VM's must be renewed.
+  // All tickets would expire before a start reaches its VM; that of the healthy
+  // VM must be renewed.
   Scheduler->adviceReceived(AdviceRequests[0].Step, AdviceRequests[0].Vms,
                             Tickets, MonotonicClock.now() + milliseconds(10));
   runPass();
--- a/packages/pool/tests/RunsTest.cpp
+++ b/packages/pool/tests/RunsTest.cpp
@@ -1,4 +1,4 @@
-// Runs: how they end, get lost, are stopped and begin again.
+// Tests how runs end, are lost, are stopped and are started again.
 
 #include <boost/test/unit_test.hpp>
 
@@ -55,7 +55,8 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(staleStartResponseKeepsTheRun, SchedulerFixture) {
-  // The first try was carried out, its answer was lost, and the run is over.
+  // The first attempt to send the start reached the VM, its response was lost,
+  // and the run has ended since.
   addVm(makeVm("a", BigSize));
   Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
                     MonotonicClock.now());
@@ -73,7 +74,7 @@
   Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
                     MonotonicClock.now());
   runPass();
-  // Not answered yet: the start may be on its way.
+  // No response yet: the start may still reach the VM.
   reportRuns("a", {});
   runPass();
   BOOST_CHECK(Starts.empty());
@@ -212,7 +213,7 @@
                     MonotonicClock.now());
   runPass();
   acceptStart(Starts.at(0));
-  // A report asked for at this very moment may be from before the start.
+  // A report requested at the same instant may not include the start yet.
   MonotonicClock.advance(milliseconds(1));
   Scheduler->vmReported("a", 2, {}, MonotonicClock.now());
   runPass();
@@ -294,7 +295,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(cancelledWaitingJobIsRemoved, SchedulerFixture) {
-  // Kept for ever, it cost each pass a look.
+  // If it were kept, each pass would examine it.
   Scheduler->addJob(makeJob("j", {makeStep(1, SmallSize)}), makeQueue(),
                     MonotonicClock.now());
   Scheduler->cancelJob("j");
@@ -307,8 +308,8 @@
 
 BOOST_FIXTURE_TEST_CASE(restartedVmKeepsRunsOfItsNewIncarnation,
                         SchedulerFixture) {
-  // A start that was sent before the restart was known reached the new life;
-  // elsewhere it would be a second run.
+  // A start that was sent before the restart was known reached the new
+  // incarnation. Placing the task elsewhere would start a second run.
   addVm(makeVm("a", BigSize));
   addVm(makeVm("b", BigSize));
   Scheduler->addJob(makeJob("j", {makeStep(2, SmallSize)}), makeQueue(),
@@ -326,7 +327,7 @@
                         std::vector{RunningTask{Runs[0].Run, "", 10, 0}},
                         MonotonicClock.now());
   BOOST_CHECK(Scheduler->isCurrentRun(Runs[0].Vm, Runs[0].Run));
-  // The other one is not there.
+  // The other run doesn't exist in the new incarnation.
   runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK(Starts[0].Run.Task == Runs[1].Run.Task);
@@ -345,7 +346,7 @@
   Scheduler->vmReported("a", 2, {}, MonotonicClock.now());
   runPass();
   BOOST_CHECK(Starts.empty());
-  // The new life took the stop: the run can't begin there any more.
+  // The new incarnation accepted the stop: the run can't start there any more.
   Scheduler->stopAnswered("a", First.Run);
   MonotonicClock.advance(milliseconds(10));
   Scheduler->vmReported("a", 2, {}, MonotonicClock.now());
@@ -354,9 +355,10 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(completionOfAnAbandonedRunCounts, SchedulerFixture) {
-  // Pattern: a VM that is cut off ends a run in time, and tells of it after its
-  // lease has lapsed. The platform counts that end, so that a second run is
-  // wasted and the steps behind wait for it.
+  // Guards against a needless second run: a disconnected VM completes a run in
+  // time but only reports it after its lease has lapsed. The platform counts
+  // that completion, so a second run would be wasted and delay the dependent
+  // steps.
   addVm(makeVm("a", SmallSize));
   StepPlan Second = makeStep(1, SmallSize);
   Second.DependsOn = {0};
@@ -378,7 +380,7 @@
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Run.Task.Step.Step, 1);
   BOOST_CHECK_EQUAL(Starts[0].Vm, "a");
-  // The room of the needless run is free once it has ended.
+  // The needless run's capacity is released once it has ended.
   BOOST_CHECK_EQUAL(Scheduler->load().UnknownRuns, 1);
   endRun(Again, RunOutcome::Stopped);
   BOOST_CHECK_EQUAL(Scheduler->load().UnknownRuns, 0);
--- a/packages/pool/tests/SchedulerFixture.h
+++ b/packages/pool/tests/SchedulerFixture.h
@@ -11,6 +11,7 @@
 
 namespace cuminroad {
 
+/// A wall clock that tests set.
 class ManualWallClock final : public WallClock {
 public:
   milliseconds sinceEpoch() const override { return Now; }
@@ -53,16 +54,17 @@
   return Out;
 }
 
-/// A scheduler with its clocks, and what its commands asked for.
+/// A scheduler with manual clocks, and the commands of its last pass.
 struct SchedulerFixture {
   SchedulerFixture()
       : Scheduler(makePoolScheduler(MonotonicClock, SystemClock, Options)) {}
 
+  /// Lists a VM and reports it without runs.
   void addVm(const PoolVm &Vm) {
     Scheduler->vmListed(Vm);
     Scheduler->vmReported(Vm.Id, Vm.Incarnation, {}, MonotonicClock.now());
   }
-  /// Runs a pass and sorts its commands.
+  /// Runs a scheduling pass and sorts its commands by type.
   void runPass() {
     Starts.clear();
     Stops.clear();
@@ -88,7 +90,7 @@
     Scheduler->taskEnded(Start.Vm,
                          TaskEnd{++LastEndNumber, Start.Run, Outcome, Saved});
   }
-  /// A report of the VM that lists these runs.
+  /// Reports that exactly \p Running run on the VM.
   void reportRuns(const std::string &Vm, std::vector<RunningTask> Running) {
     MonotonicClock.advance(milliseconds(1));
     Scheduler->vmReported(Vm, 1, Running, MonotonicClock.now());
