--- /dev/null
+++ b/packages/pool/include/cuminroad/pool/PoolDiagnostics.h
@@ -0,0 +1,54 @@
+#ifndef CUMINROAD_POOL_POOLDIAGNOSTICS_H
+#define CUMINROAD_POOL_POOLDIAGNOSTICS_H
+
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "cuminroad/base/Clock.h"
+#include "cuminroad/pool/TaskName.h"
+
+namespace cuminroad {
+
+/// A run that was placed and lost before its task ended.
+struct LostRun {
+  TaskRun Run;
+  std::string Vm;
+  std::string_view Reason;
+};
+
+/// Why a step could not be placed for some time. The counts show which
+/// condition excludes the VMs.
+struct BlockedStep {
+  StepName Step;
+  milliseconds Waited{0};
+  int WaitingTasks = 0;
+  /// VMs that the advisor allows, or all VMs if the queue needs no advice.
+  int AllowedVms = 0;
+  /// Allowed VMs whose lease is held and that are not leaving.
+  int AvailableVms = 0;
+  /// Available VMs that can host the step and are not in quarantine.
+  int UsableVms = 0;
+  /// VMs with a ticket that is valid for long enough, or, if the queue needs no
+  /// advice, VMs that accept work.
+  int VmsWithTicket = 0;
+  /// Allowed VMs with enough free capacity for a task.
+  int VmsWithRoom = 0;
+};
+
+/// A VM that gets no new tasks for some time because its starts and runs fail.
+struct VmQuarantine {
+  std::string Vm;
+  milliseconds Duration{0};
+};
+
+/// Events for the log. They don't affect scheduling.
+struct PoolDiagnostics {
+  std::vector<LostRun> LostRuns;
+  std::vector<BlockedStep> BlockedSteps;
+  std::vector<VmQuarantine> Quarantines;
+};
+
+} // namespace cuminroad
+
+#endif
--- a/packages/pool/src/JobPlan.cpp
+++ b/packages/pool/src/JobPlan.cpp
@@ -6,22 +6,24 @@
 
 namespace cuminroad {
 
-bool JobPlan::lasts() const {
+bool JobPlan::isLongRunning() const {
   return std::any_of(Steps.begin(), Steps.end(),
                      [](const StepPlan &Step) { return Step.LongRunning; });
 }
 
 namespace {
 
-/// Bounds that keep one job from taking a daemon's memory; far above the widest
-/// jobs that are known.
+/// Bounds that keep one job from exhausting a daemon's memory; far above the
+/// largest known jobs.
 constexpr int MaxTasksPerStep = 5000;
 constexpr std::size_t MaxSteps = 500;
 constexpr int MaxOccurrences = 1'000'000;
-/// Largest figure of a size or a time.
-constexpr std::int64_t MaxFigure = 1'000'000'000'000;
+/// Upper bound of sizes, and of times in milliseconds.
+constexpr std::int64_t MaxNumber = 1'000'000'000'000;
 
-bool isFigure(std::int64_t Value) { return Value >= 0 && Value <= MaxFigure; }
+bool isAllowedNumber(std::int64_t Value) {
+  return Value >= 0 && Value <= MaxNumber;
+}
 
 } // namespace
 
@@ -34,21 +36,21 @@
     const StepPlan &Step = Plan.Steps[Index];
     if (Step.Tasks < 1 || Step.Tasks > MaxTasksPerStep)
       return failure(ErrorCode::ValueOutOfRange, "count");
-    if (!isFigure(Step.PerTask.MilliCores) ||
-        !isFigure(Step.PerTask.MemoryMb) ||
-        !isFigure(Step.PerTask.Accelerators))
+    if (!isAllowedNumber(Step.PerTask.MilliCores) ||
+        !isAllowedNumber(Step.PerTask.MemoryMb) ||
+        !isAllowedNumber(Step.PerTask.Accelerators))
       return failure(ErrorCode::ValueOutOfRange, "size of a task");
-    if (!isFigure(Step.Estimate.count()) ||
-        !isFigure(Step.LatencyTarget.count()) || Step.MaxPerVm < 0 ||
-        Step.MayMiss < 0)
+    if (!isAllowedNumber(Step.Estimate.count()) ||
+        !isAllowedNumber(Step.LatencyTarget.count()) || Step.MaxPerVm < 0 ||
+        Step.MaxUnavailable < 0)
       return failure(ErrorCode::ValueOutOfRange, "step");
-    for (const int Before : Step.After)
-      if (Before < 0 || Before >= static_cast<int>(Index))
+    for (const int Dependency : Step.DependsOn)
+      if (Dependency < 0 || Dependency >= static_cast<int>(Index))
         return failure(ErrorCode::ValueOutOfRange, "after");
   }
   if (Plan.Occurrences < 0 || Plan.Occurrences > MaxOccurrences)
     return failure(ErrorCode::ValueOutOfRange, "times");
-  if (!isFigure(Plan.Interval.count()))
+  if (!isAllowedNumber(Plan.Interval.count()))
     return failure(ErrorCode::ValueOutOfRange, "interval");
   return {};
 }
@@ -60,15 +62,15 @@
                      {"c", Step.PerTask.MilliCores},
                      {"m", Step.PerTask.MemoryMb},
                      {"e", Step.Estimate.count()}};
-  // Most fields of most steps have their default.
+  // Fields with their default value are omitted; that is most of them.
   if (Step.PerTask.Accelerators != 0)
     Out["a"] = Step.PerTask.Accelerators;
-  if (!Step.After.empty())
-    Out["after"] = Step.After;
+  if (!Step.DependsOn.empty())
+    Out["after"] = Step.DependsOn;
   const std::pair<const char *, bool> Flags[] = {
       {"ck", Step.Checkpointing}, {"gang", Step.Gang},
       {"rack", Step.SameRack},    {"spec", Step.Speculative},
-      {"long", Step.LongRunning}, {"fills", Step.Fills}};
+      {"long", Step.LongRunning}, {"fills", Step.BestEffort}};
   for (const auto &[Name, Set] : Flags)
     if (Set)
       Out[Name] = true;
@@ -82,7 +84,7 @@
   const std::pair<const char *, std::int64_t> Numbers[] = {
       {"per_vm", Step.MaxPerVm},
       {"target", Step.LatencyTarget.count()},
-      {"miss", Step.MayMiss}};
+      {"miss", Step.MaxUnavailable}};
   for (const auto &[Name, Value] : Numbers)
     if (Value != 0)
       Out[Name] = Value;
@@ -96,19 +98,19 @@
   Out.PerTask.MemoryMb = Input.at("m").get<std::int64_t>();
   Out.PerTask.Accelerators = Input.value("a", std::int64_t{0});
   Out.Estimate = milliseconds(Input.at("e").get<std::int64_t>());
-  Out.After = Input.value("after", std::vector<int>());
+  Out.DependsOn = Input.value("after", std::vector<int>());
   Out.Checkpointing = Input.value("ck", false);
   Out.Gang = Input.value("gang", false);
   Out.SameRack = Input.value("rack", false);
   Out.Speculative = Input.value("spec", false);
   Out.LongRunning = Input.value("long", false);
-  Out.Fills = Input.value("fills", false);
+  Out.BestEffort = Input.value("fills", false);
   Out.RequiredLabel = Input.value("label", std::string());
   Out.DataRack = Input.value("data", std::string());
   Out.Image = Input.value("image", std::string());
   Out.MaxPerVm = Input.value("per_vm", 0);
   Out.LatencyTarget = milliseconds(Input.value("target", std::int64_t{0}));
-  Out.MayMiss = Input.value("miss", 0);
+  Out.MaxUnavailable = Input.value("miss", 0);
   return Out;
 }
 
@@ -138,8 +140,8 @@
     if (const auto Checked = checkPlan(Out); !Checked)
       return tl::unexpected(Checked.error());
     return Out;
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::MalformedInput, Fault.what());
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::MalformedInput, Exception.what());
   }
 }
 
--- a/packages/pool/src/JobProgress.cpp
+++ b/packages/pool/src/JobProgress.cpp
@@ -8,14 +8,18 @@
 
 namespace {
 
+/// Indexed by JobStage.
 constexpr std::array<std::string_view, 5> StageNames{
     "queued", "running", "completed", "failed", "cancelled"};
 
+// Rows of the store hold arrays without field names, and only the index of a
+// task, step or occurrence that is done, to keep them small.
+
 nlohmann::json taskToJson(const TaskProgress &Task) {
   if (Task.Done)
     return Task.Index;
-  return {Task.Index, Task.Failures, Task.Run,
-          Task.Vm,    Task.VmBorn,   Task.Checkpoint};
+  return {Task.Index, Task.Failures,      Task.Run,
+          Task.Vm,    Task.VmIncarnation, Task.Checkpoint};
 }
 
 TaskProgress taskFromJson(const nlohmann::json &Input) {
@@ -29,7 +33,7 @@
   Out.Failures = Input.at(1).get<int>();
   Out.Run = Input.at(2).get<std::int64_t>();
   Out.Vm = Input.at(3).get<std::string>();
-  Out.VmBorn = Input.at(4).get<std::int64_t>();
+  Out.VmIncarnation = Input.at(4).get<std::int64_t>();
   Out.Checkpoint = Input.at(5).get<std::string>();
   return Out;
 }
@@ -54,7 +58,7 @@
   Out.GangFailures = Input.at(1).get<int>();
   for (const nlohmann::json &Task : Input.at(2))
     Out.Tasks.push_back(taskFromJson(Task));
-  // Rows of earlier versions end here.
+  // Rows of earlier versions lack this field.
   if (Input.size() > 3)
     Out.GangFailedRun = Input.at(3).get<std::int64_t>();
   return Out;
--- /dev/null
+++ b/packages/pool/src/PoolRecords.h
@@ -0,0 +1,189 @@
+#ifndef CUMINROAD_POOL_SRC_POOLRECORDS_H
+#define CUMINROAD_POOL_SRC_POOLRECORDS_H
+
+#include <map>
+#include <memory>
+#include <optional>
+#include <set>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "cuminroad/pool/JobPlan.h"
+#include "cuminroad/pool/JobStage.h"
+#include "cuminroad/pool/PoolVm.h"
+#include "cuminroad/pool/QueueTerms.h"
+
+// State of the pool scheduler. A job owns its occurrences, an occurrence owns
+// its steps, and a step owns its tasks. Pointers to owners and to VMs stay
+// valid because records are never moved.
+
+namespace cuminroad {
+
+struct JobRecord;
+struct OccurrenceRecord;
+struct StepRecord;
+struct VmRecord;
+
+/// Phase of a task.
+enum class TaskPhase {
+  Waiting,
+  /// A VM was chosen; the start command may have reached it.
+  Placed,
+  /// The VM has confirmed the run.
+  Running,
+  /// A stop of the run was requested.
+  Stopping,
+  Done,
+};
+
+struct TaskRecord {
+  StepRecord *Step = nullptr;
+  int Index = 0;
+  TaskPhase Phase = TaskPhase::Waiting;
+  int Failures = 0;
+  /// Number of the last run that may have been started.
+  std::int64_t Run = 0;
+  /// Set in the phases Placed, Running and Stopping.
+  VmRecord *Vm = nullptr;
+  std::string Checkpoint;
+  TimePoint PlacedAt{};
+  /// When the VM first confirmed that the run started or that it never will;
+  /// TimePoint::min() for a run that an earlier owner started.
+  std::optional<TimePoint> ConfirmedAt;
+  /// When ProgressPercent last changed.
+  TimePoint ProgressedAt{};
+  /// As last reported; -1 before the first report of the run.
+  int ProgressPercent = -1;
+  /// See RunningTask::Measurement.
+  double Measurement = 0;
+  /// As last commanded with ThrottleRun.
+  int SpeedPercent = 100;
+  /// The task must not be placed again before this time.
+  TimePoint NotPlacedBefore{};
+
+  bool isOnVm() const { return Vm != nullptr; }
+};
+
+/// The advisor's ticket for one VM.
+struct TicketRecord {
+  std::string Ticket;
+  TimePoint ValidUntil{};
+  /// The incarnation of the VM for which the ticket was issued.
+  std::int64_t VmIncarnation = 0;
+};
+
+struct StepRecord {
+  OccurrenceRecord *Occurrence = nullptr;
+  const StepPlan *Plan = nullptr;
+  int Number = 0;
+  std::vector<TaskRecord> Tasks;
+  int DoneTasks = 0;
+  /// Number of tasks in the phases Placed, Running and Stopping.
+  int TasksOnVms = 0;
+  int GangFailures = 0;
+  /// Number of the last run of the gang that was counted as failed.
+  std::int64_t GangFailedRun = 0;
+  /// Number of tasks in the phase Waiting, so that a pass need not count them.
+  int WaitingTasks = 0;
+  /// VMs that the advisor allows for the step, with their tickets.
+  std::map<VmRecord *, TicketRecord> AllowedVms;
+  /// VMs named in advice requests that were answered, with their incarnations.
+  std::unordered_map<const VmRecord *, std::int64_t> QueriedVms;
+  /// PoolTables::VmsVersion when the VMs were last checked for new ones; -1 to
+  /// check again.
+  std::int64_t SeenVmsVersion = -1;
+  /// An advice request has not been answered yet.
+  bool AdvicePending = false;
+  /// VMs that the last pass reserved for the step, and from when on.
+  std::vector<VmRecord *> ReservedVms;
+  TimePoint ReservationStart{};
+  /// Whether the last pass left some tasks of the step unplaced for lack of
+  /// VMs.
+  bool Blocked = false;
+  /// Since when the step has been blocked, and for how long it must have been
+  /// blocked for the next log entry.
+  std::optional<TimePoint> BlockedSince;
+  milliseconds NextBlockedReport{0};
+
+  bool isComplete() const {
+    return DoneTasks == static_cast<int>(Tasks.size());
+  }
+};
+
+struct OccurrenceRecord {
+  JobRecord *Job = nullptr;
+  int Number = 0;
+  TimePoint Due{};
+  std::vector<StepRecord> Steps;
+};
+
+struct JobRecord {
+  JobPlan Plan;
+  QueueTerms Terms;
+  TimePoint AcceptedAt{};
+  /// Estimated length of the critical path; see criticalPath().
+  milliseconds CriticalPath{0};
+  JobStage Stage = JobStage::Queued;
+  std::map<int, std::unique_ptr<OccurrenceRecord>> Occurrences;
+  std::set<int> DoneOccurrences;
+  /// Number of occurrences that have become due.
+  int CreatedOccurrences = 0;
+  /// Whether any task was placed.
+  bool Started = false;
+
+  /// \returns the time within which an occurrence should complete.
+  milliseconds objective() const {
+    return milliseconds(static_cast<std::int64_t>(
+               Terms.Stretch * static_cast<double>(CriticalPath.count()))) +
+           Terms.LatencyTarget;
+  }
+};
+
+struct VmRecord {
+  PoolVm Description;
+  /// The VM's lease is held and all its runs are known.
+  bool LeaseHeld = false;
+  bool Listed = true;
+  /// The incarnation of the last report; 0 before the first.
+  std::int64_t ReportedIncarnation = 0;
+  Capacity Used;
+  std::set<TaskRecord *> Tasks;
+  /// Runs on the VM that belong to no unfinished task, with the capacity that
+  /// they occupy; they are being stopped.
+  std::map<TaskRun, Capacity> UnknownRuns;
+  int ConsecutiveFailures = 0;
+  TimePoint QuarantinedAt{};
+  TimePoint QuarantinedUntil{};
+  milliseconds QuarantineDuration{0};
+  /// Earliest time of the next probe while in quarantine.
+  TimePoint NextProbe{};
+  /// Smoothed ratio of measured to estimated run times.
+  double Slowdown = 1.0;
+  /// Within a pass: the VM is reserved for a blocked step from this time on.
+  /// Other tasks may only use it if they end earlier or fit beside the step.
+  std::optional<TimePoint> ReservationStart;
+  /// Capacity left beside the blocked step from ReservationStart on.
+  Capacity BackfillRoom;
+  /// Best-effort tasks are paused at least until this time.
+  TimePoint ThrottledUntil{};
+  milliseconds ThrottleDuration{0};
+
+  Capacity freeCapacity() const { return Description.Total - Used; }
+  /// \returns whether the VM may get new tasks, regardless of quarantine.
+  bool acceptsWork() const {
+    return LeaseHeld && Listed && !Description.Leaving;
+  }
+  bool inQuarantine(TimePoint Now) const { return Now < QuarantinedUntil; }
+};
+
+/// \returns whether the VM, if empty, could run a task of the step.
+inline bool canHost(const StepPlan &Plan, const VmRecord &Vm) {
+  return Plan.reservedCapacity().fitsIn(Vm.Description.Total) &&
+         (Plan.RequiredLabel.empty() ||
+          Vm.Description.hasLabel(Plan.RequiredLabel));
+}
+
+} // namespace cuminroad
+
+#endif
--- a/packages/pool/src/PoolSchedulerImpl.h
+++ b/packages/pool/src/PoolSchedulerImpl.h
@@ -6,23 +6,24 @@
 
 namespace cuminroad {
 
-/// The events of PoolScheduler on PoolTables.
+/// Implements the events of PoolScheduler on PoolTables.
 class PoolSchedulerImpl final : public PoolScheduler {
 public:
-  PoolSchedulerImpl(const Clock &Time, const WallClock &Wall,
+  PoolSchedulerImpl(const Clock &MonotonicClock, const WallClock &SystemClock,
                     const PoolOptions &Options)
-      : Time_(Time), Wall_(Wall), Options_(Options) {}
+      : MonotonicClock_(MonotonicClock), SystemClock_(SystemClock),
+        Options_(Options) {}
 
   void vmListed(const PoolVm &Vm) override;
-  void vmReported(std::string_view Vm, std::int64_t Born,
+  void vmReported(std::string_view Vm, std::int64_t Incarnation,
                   std::span<const RunningTask> Running,
-                  TimePoint AskedAt) override;
-  void vmSilent(std::string_view Vm) override;
+                  TimePoint RequestedAt) override;
+  void vmUnreachable(std::string_view Vm) override;
   void vmEmptied(std::string_view Vm) override;
   void vmRemoved(std::string_view Vm) override;
 
-  void addJob(JobPlan Plan, QueueTerms Terms, TimePoint Accepted) override;
-  void restoreJob(JobPlan Plan, QueueTerms Terms, TimePoint Accepted,
+  void addJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt) override;
+  void restoreJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt,
                   const JobProgress &Progress) override;
   void setTerms(const QueueTerms &Terms) override;
   void cancelJob(std::string_view Job) override;
@@ -32,66 +33,79 @@
   void startAnswered(std::string_view Vm, const TaskRun &Run,
                      StartOutcome Outcome) override;
   void stopAnswered(std::string_view Vm, const TaskRun &Run) override;
-  void adviceCame(const StepName &Step, std::span<const std::string> Asked,
-                  std::span<const AdviceTicket> Good,
-                  TimePoint ValidUntil) override;
+  void adviceReceived(const StepName &Step,
+                      std::span<const std::string> QueriedVms,
+                      std::span<const AdviceTicket> Tickets,
+                      TimePoint ValidUntil) override;
   void adviceFailed(const StepName &Step) override;
-  bool wantsAdvice(const StepName &Step) const override;
+  bool needsAdvice(const StepName &Step) const override;
   void setStartDelay(milliseconds Delay) override;
 
   void schedule() override;
   std::vector<PoolCommand> takeCommands() override;
   std::vector<std::string> takeChangedJobs() override;
-  PoolNotes takeNotes() override;
+  PoolDiagnostics takeDiagnostics() override;
 
   std::optional<JobStage> stage(std::string_view Job) const override;
   JobProgress progress(std::string_view Job) const override;
-  bool wants(std::string_view Vm, const TaskRun &Run) const override;
-  int pending(std::string_view Queue) const override;
+  bool isCurrentRun(std::string_view Vm, const TaskRun &Run) const override;
+  int pendingJobs(std::string_view Queue) const override;
   std::vector<std::string> occupiedVms() const override;
   PoolLoad load() const override;
   const JobPlan *plan(std::string_view Job) const override;
   const QueueTerms *terms(std::string_view Job) const override;
 
 private:
-  JobRecord &insert(JobPlan Plan, QueueTerms Terms, TimePoint Accepted);
+  JobRecord &insertJob(JobPlan Plan, QueueTerms Terms, TimePoint AcceptedAt);
   void restoreOccurrence(JobRecord &Job, const OccurrenceProgress &Progress);
   void restoreTask(StepRecord &Step, const TaskProgress &Progress);
-  /// The present run of \p Run's task, if it is the one meant and on \p Vm.
-  TaskRecord *current(const VmRecord *Vm, const TaskRun &Run) const;
-  void lose(TaskRecord &Task, std::string_view Reason);
-  void emptyVm(VmRecord &Vm, std::string_view Reason);
+  /// \returns the task of \p Run if that is its current run and on \p Vm, or
+  /// nullptr.
+  TaskRecord *findCurrentTask(const VmRecord *Vm, const TaskRun &Run) const;
+  /// Releases a task whose run was lost, and stops the other members of a gang.
+  void loseRun(TaskRecord &Task, std::string_view Reason);
+  /// All runs on the VM have ended without a report.
+  void clearVm(VmRecord &Vm, std::string_view Reason);
+  /// Commands the VM to stop the task's current run.
   void stopTask(TaskRecord &Task);
-  void reportRunning(VmRecord &Vm, const RunningTask &Report);
-  void dropMissing(VmRecord &Vm, std::span<const RunningTask> Running,
-                   TimePoint AskedAt, std::string_view Reason);
-  void noteCheckpoint(TaskRecord &Task, const std::string &Checkpoint);
-  /// Counts the failure of a task that is on its VM against the VM.
-  void countFailure(const TaskRecord &Task);
+  void applyRunReport(VmRecord &Vm, const RunningTask &Report);
+  /// Loses the runs that are missing from a VM's report, except those whose
+  /// start may have reached the VM after the report was requested.
+  void loseMissingRuns(VmRecord &Vm, std::span<const RunningTask> Running,
+                       TimePoint RequestedAt, std::string_view Reason);
+  void recordCheckpoint(TaskRecord &Task, const std::string &Checkpoint);
+  /// Counts a failure of a task against its VM, and quarantines the VM after
+  /// too many consecutive ones.
+  void recordVmFailure(const TaskRecord &Task);
   void stopTasksOfLeavingVm(VmRecord &Vm);
-  void paceFillers(VmRecord &Vm);
-  void setPace(TaskRecord &Task, int Percent);
+  /// Pauses the VM's best-effort tasks while a latency-sensitive task is near
+  /// its target, and resumes them later.
+  void throttleBestEffortTasks(VmRecord &Vm);
+  void setSpeed(TaskRecord &Task, int SpeedPercent);
 
-  void ended(TaskRecord &Task, const TaskEnd &End, VmRecord &Vm);
-  void endedDone(TaskRecord &Task, VmRecord &Vm);
-  /// An end as done of a run that was given up: it counts all the same.
-  void earlierRunDone(const TaskRun &Run);
-  /// Stops the task's run, if it has one, as one that nobody waits for.
-  void disown(TaskRecord &Task);
-  /// Stops a run that belongs to no unfinished task; it takes room until then.
-  void stopStranger(VmRecord &Vm, const TaskRun &Run, const Capacity &Size);
+  void runEnded(TaskRecord &Task, const TaskEnd &End, VmRecord &Vm);
+  void runSucceeded(TaskRecord &Task, VmRecord &Vm);
+  /// An abandoned run has ended as done: its task is done all the same.
+  void earlierRunSucceeded(const TaskRun &Run);
+  /// Turns the task's current run, if any, into an unknown run and stops it.
+  void abandonRun(TaskRecord &Task);
+  /// Stops a run that belongs to no unfinished task; it occupies \p Size of the
+  /// VM's capacity until it has ended.
+  void stopUnknownRun(VmRecord &Vm, const TaskRun &Run, const Capacity &Size);
   void finishTask(TaskRecord &Task);
-  void endedFailed(TaskRecord &Task);
-  void noteRunTime(const TaskRecord &Task, VmRecord &Vm) const;
+  void runFailed(TaskRecord &Task);
+  /// Updates the VM's slowdown with the run time of a task that is done.
+  void updateSlowdown(const TaskRecord &Task, VmRecord &Vm) const;
   void finishOccurrence(OccurrenceRecord &Occurrence);
   void finishJob(JobRecord &Job, JobStage Stage);
-  /// Moves a finished job with nothing on VMs out of the way.
-  void settleJob(JobRecord &Job);
+  /// Discards the records of a finished job, except its final stage, once none
+  /// of its tasks is on a VM.
+  void archiveFinishedJob(JobRecord &Job);
   void createDueOccurrences();
   void stopStuckTasks();
 
-  const Clock &Time_;
-  const WallClock &Wall_;
+  const Clock &MonotonicClock_;
+  const WallClock &SystemClock_;
   PoolOptions Options_;
   PoolTables Tables_;
   TimePoint NextStuckCheck_{};
--- a/packages/pool/src/PoolSchedulerVms.cpp
+++ b/packages/pool/src/PoolSchedulerVms.cpp
@@ -1,4 +1,4 @@
-// VMs: what they report, and what is done about it.
+// Events and queries about VMs.
 #include "PoolSchedulerImpl.h"
 
 #include <algorithm>
@@ -7,35 +7,38 @@
 
 namespace {
 
-/// A serving task counts as near its target from this share of it; the tail
-/// moves within seconds.
-constexpr double NearTarget = 0.85;
-/// Fillers work again when the tail is below this share of the target.
-constexpr double WellBelowTarget = 0.6;
-/// How long fillers are held back at first; doubles each time up to the last.
-constexpr milliseconds PaceTimeMin{2000};
-constexpr milliseconds PaceTimeMax{16000};
-constexpr int FullPace = 100;
-constexpr int HeldBack = 0;
-/// A task this close to its end is left to end on a VM that leaves.
-constexpr milliseconds WorthMoving{1500};
+/// A latency-sensitive task is near its target from this share of it on. The
+/// margin is needed because the tail response time can rise within seconds.
+constexpr double NearTargetShare = 0.85;
+/// Best-effort tasks resume when the tail response time is below this share of
+/// the target.
+constexpr double WellBelowTargetShare = 0.6;
+/// For how long best-effort tasks are paused at first; this doubles each time
+/// up to the maximum.
+constexpr milliseconds MinThrottleDuration{2000};
+constexpr milliseconds MaxThrottleDuration{16000};
+constexpr int FullSpeedPercent = 100;
+constexpr int PausedPercent = 0;
+/// A task with less expected time remaining is not moved off a leaving VM.
+constexpr milliseconds MinRemainingToMove{1500};
 
-void dropStrangers(VmRecord &Vm) {
-  for (const auto &[Run, Size] : Vm.Strangers)
+void forgetUnknownRuns(VmRecord &Vm) {
+  for (const auto &[Run, Size] : Vm.UnknownRuns)
     Vm.Used -= Size;
-  Vm.Strangers.clear();
+  Vm.UnknownRuns.clear();
 }
 
 } // namespace
 
 void PoolSchedulerImpl::vmListed(const PoolVm &Listed) {
-  VmRecord &Vm = Tables_.makeVm(Listed.Id);
-  // What runs in a new life is known from its first report: a start may have
-  // reached it.
-  if (Vm.Vm.Born != 0 && Vm.Vm.Born != Listed.Born)
-    Vm.Claimed = false;
-  const bool WasLeaving = Vm.Vm.Leaving;
-  Vm.Vm = Listed;
+  VmRecord &Vm = Tables_.findOrCreateVm(Listed.Id);
+  // A start may have reached the new incarnation, so its runs are only known
+  // from its first report.
+  if (Vm.Description.Incarnation != 0 &&
+      Vm.Description.Incarnation != Listed.Incarnation)
+    Vm.LeaseHeld = false;
+  const bool WasLeaving = Vm.Description.Leaving;
+  Vm.Description = Listed;
   Vm.Listed = true;
   ++Tables_.VmsVersion;
   if (Listed.Leaving && !WasLeaving)
@@ -43,140 +46,149 @@
 }
 
 void PoolSchedulerImpl::stopTasksOfLeavingVm(VmRecord &Vm) {
-  const TimePoint Now = Time_.now();
+  const TimePoint Now = MonotonicClock_.now();
   const std::vector<TaskRecord *> Tasks(Vm.Tasks.begin(), Vm.Tasks.end());
   for (TaskRecord *Task : Tasks) {
     const StepPlan &Plan = *Task->Step->Plan;
     const bool Movable = Plan.LongRunning || (Plan.Checkpointing && !Plan.Gang);
     if (Task->Phase == TaskPhase::Running && Movable &&
         (Plan.LongRunning ||
-         Task->PlacedAt + Plan.Estimate > Now + WorthMoving))
+         Task->PlacedAt + Plan.Estimate > Now + MinRemainingToMove))
       stopTask(*Task);
   }
 }
 
-void PoolSchedulerImpl::vmReported(std::string_view Id, std::int64_t Born,
+void PoolSchedulerImpl::vmReported(std::string_view Id,
+                                   std::int64_t Incarnation,
                                    std::span<const RunningTask> Running,
-                                   TimePoint AskedAt) {
+                                   TimePoint RequestedAt) {
   VmRecord *Vm = Tables_.vm(Id);
   if (Vm == nullptr)
     return;
-  const bool Restarted = Vm->ReportedBorn != 0 && Vm->ReportedBorn != Born;
-  Vm->ReportedBorn = Born;
-  Vm->Vm.Born = Born;
-  if (!Vm->Claimed)
+  const bool Restarted =
+      Vm->ReportedIncarnation != 0 && Vm->ReportedIncarnation != Incarnation;
+  Vm->ReportedIncarnation = Incarnation;
+  Vm->Description.Incarnation = Incarnation;
+  if (!Vm->LeaseHeld)
     ++Tables_.VmsVersion;
-  Vm->Claimed = true;
-  dropStrangers(*Vm);
+  Vm->LeaseHeld = true;
+  forgetUnknownRuns(*Vm);
   for (const RunningTask &Report : Running)
-    reportRunning(*Vm, Report);
-  dropMissing(*Vm, Running, AskedAt, Restarted ? "vm_restarted" : "not_on_vm");
-  paceFillers(*Vm);
+    applyRunReport(*Vm, Report);
+  loseMissingRuns(*Vm, Running, RequestedAt,
+                  Restarted ? "vm_restarted" : "not_on_vm");
+  throttleBestEffortTasks(*Vm);
 }
 
-void PoolSchedulerImpl::reportRunning(VmRecord &Vm, const RunningTask &Report) {
-  TaskRecord *Task = current(&Vm, Report.Run);
+void PoolSchedulerImpl::applyRunReport(VmRecord &Vm,
+                                       const RunningTask &Report) {
+  TaskRecord *Task = findCurrentTask(&Vm, Report.Run);
   if (Task == nullptr) {
-    // Nobody waits for this run, for instance since its job was cancelled
-    // under an earlier owner. It takes room until it is gone.
+    // The run is not current, for example because its job was cancelled under
+    // an earlier owner. It occupies capacity until it has ended.
     const StepRecord *Step = Tables_.step(Report.Run.Task.Step);
-    stopStranger(Vm, Report.Run,
-                 Step != nullptr ? Step->Plan->reserved() : Vm.Vm.Total);
+    stopUnknownRun(Vm, Report.Run,
+                   Step != nullptr ? Step->Plan->reservedCapacity()
+                                   : Vm.Description.Total);
     return;
   }
-  const TimePoint Now = Time_.now();
-  // An unhealthy VM may have refused the stop for as long as it was tried.
+  const TimePoint Now = MonotonicClock_.now();
+  // Repeat the stop: an unhealthy VM may have refused all attempts to send it.
   if (Task->Phase == TaskPhase::Stopping)
-    Tables_.Commands.push_back(StopRun{Vm.Vm.Id, Report.Run});
+    Tables_.Commands.push_back(StopRun{Vm.Description.Id, Report.Run});
   if (Task->Phase == TaskPhase::Placed)
     Tables_.setPhase(*Task, TaskPhase::Running);
   if (!Task->ConfirmedAt)
     Task->ConfirmedAt = Now;
-  if (Report.Percent != Task->Percent) {
-    Task->Percent = Report.Percent;
-    Task->MovedAt = Now;
+  if (Report.ProgressPercent != Task->ProgressPercent) {
+    Task->ProgressPercent = Report.ProgressPercent;
+    Task->ProgressedAt = Now;
   }
-  Task->Measure = Report.Measure;
-  noteCheckpoint(*Task, Report.Checkpoint);
+  Task->Measurement = Report.Measurement;
+  recordCheckpoint(*Task, Report.Checkpoint);
 }
 
-void PoolSchedulerImpl::stopStranger(VmRecord &Vm, const TaskRun &Run,
-                                     const Capacity &Size) {
-  if (Vm.Strangers.emplace(Run, Size).second)
+void PoolSchedulerImpl::stopUnknownRun(VmRecord &Vm, const TaskRun &Run,
+                                       const Capacity &Size) {
+  if (Vm.UnknownRuns.emplace(Run, Size).second)
     Vm.Used += Size;
-  Tables_.Commands.push_back(StopRun{Vm.Vm.Id, Run});
+  Tables_.Commands.push_back(StopRun{Vm.Description.Id, Run});
 }
 
-void PoolSchedulerImpl::noteCheckpoint(TaskRecord &Task,
-                                       const std::string &Checkpoint) {
+void PoolSchedulerImpl::recordCheckpoint(TaskRecord &Task,
+                                         const std::string &Checkpoint) {
   if (Checkpoint.empty() || Checkpoint == Task.Checkpoint)
     return;
   Task.Checkpoint = Checkpoint;
-  // All members of a gang must start from the same one.
+  // All members of a gang must start from the same checkpoint.
   if (Task.Step->Plan->Gang)
     for (TaskRecord &Member : Task.Step->Tasks)
       Member.Checkpoint = Checkpoint;
 }
 
-void PoolSchedulerImpl::dropMissing(VmRecord &Vm,
-                                    std::span<const RunningTask> Running,
-                                    TimePoint AskedAt,
-                                    std::string_view Reason) {
-  std::set<const TaskRecord *> Seen;
+void PoolSchedulerImpl::loseMissingRuns(VmRecord &Vm,
+                                        std::span<const RunningTask> Running,
+                                        TimePoint RequestedAt,
+                                        std::string_view Reason) {
+  std::set<const TaskRecord *> ReportedTasks;
   for (const RunningTask &Report : Running)
-    Seen.insert(current(&Vm, Report.Run));
+    ReportedTasks.insert(findCurrentTask(&Vm, Report.Run));
   const std::vector<TaskRecord *> Tasks(Vm.Tasks.begin(), Vm.Tasks.end());
   for (TaskRecord *Task : Tasks) {
-    // A start that was not answered yet may still be on its way.
-    const bool Settled = Task->ConfirmedAt && *Task->ConfirmedAt < AskedAt;
-    if (Settled && !Seen.contains(Task))
-      lose(*Task, Reason);
+    // A start that the VM has not confirmed may still reach it.
+    const bool ConfirmedBeforeRequest =
+        Task->ConfirmedAt && *Task->ConfirmedAt < RequestedAt;
+    if (ConfirmedBeforeRequest && !ReportedTasks.contains(Task))
+      loseRun(*Task, Reason);
   }
 }
 
-void PoolSchedulerImpl::paceFillers(VmRecord &Vm) {
-  bool Near = false;
-  bool Below = true;
+void PoolSchedulerImpl::throttleBestEffortTasks(VmRecord &Vm) {
+  bool AnyNearTarget = false;
+  bool AllWellBelowTarget = true;
   for (const TaskRecord *Task : Vm.Tasks) {
-    if (!Task->Step->Plan->serves())
+    if (!Task->Step->Plan->isLatencySensitive())
       continue;
     const double Target =
         static_cast<double>(Task->Step->Plan->LatencyTarget.count());
-    Near = Near || Task->Measure > Target * NearTarget;
-    Below = Below && Task->Measure < Target * WellBelowTarget;
+    AnyNearTarget =
+        AnyNearTarget || Task->Measurement > Target * NearTargetShare;
+    AllWellBelowTarget =
+        AllWellBelowTarget && Task->Measurement < Target * WellBelowTargetShare;
   }
-  const TimePoint Now = Time_.now();
-  if (Near) {
-    if (Vm.PacedUntil <= Now)
-      Vm.PaceTime = std::clamp(Vm.PaceTime * 2, PaceTimeMin, PaceTimeMax);
-    Vm.PacedUntil = Now + Vm.PaceTime;
+  const TimePoint Now = MonotonicClock_.now();
+  if (AnyNearTarget) {
+    if (Vm.ThrottledUntil <= Now)
+      Vm.ThrottleDuration = std::clamp(
+          Vm.ThrottleDuration * 2, MinThrottleDuration, MaxThrottleDuration);
+    Vm.ThrottledUntil = Now + Vm.ThrottleDuration;
   }
   for (TaskRecord *Task : Vm.Tasks) {
-    if (!Task->Step->Plan->Fills || Task->Phase != TaskPhase::Running)
+    if (!Task->Step->Plan->BestEffort || Task->Phase != TaskPhase::Running)
       continue;
-    if (Now < Vm.PacedUntil)
-      setPace(*Task, HeldBack);
-    else if (Below)
-      setPace(*Task, FullPace);
+    if (Now < Vm.ThrottledUntil)
+      setSpeed(*Task, PausedPercent);
+    else if (AllWellBelowTarget)
+      setSpeed(*Task, FullSpeedPercent);
   }
 }
 
-void PoolSchedulerImpl::setPace(TaskRecord &Task, int Percent) {
-  if (Task.Pace == Percent)
+void PoolSchedulerImpl::setSpeed(TaskRecord &Task, int SpeedPercent) {
+  if (Task.SpeedPercent == SpeedPercent)
     return;
-  Task.Pace = Percent;
-  Tables_.Commands.push_back(
-      PaceRun{Task.Vm->Vm.Id, TaskRun{nameOf(Task), Task.Run}, Percent});
+  Task.SpeedPercent = SpeedPercent;
+  Tables_.Commands.push_back(ThrottleRun{
+      Task.Vm->Description.Id, TaskRun{nameOf(Task), Task.Run}, SpeedPercent});
 }
 
-void PoolSchedulerImpl::vmSilent(std::string_view Id) {
+void PoolSchedulerImpl::vmUnreachable(std::string_view Id) {
   if (VmRecord *Vm = Tables_.vm(Id))
-    Vm->Claimed = false;
+    Vm->LeaseHeld = false;
 }
 
 void PoolSchedulerImpl::vmEmptied(std::string_view Id) {
   if (VmRecord *Vm = Tables_.vm(Id))
-    emptyVm(*Vm, "lease_lapsed");
+    clearVm(*Vm, "lease_lapsed");
 }
 
 void PoolSchedulerImpl::vmRemoved(std::string_view Id) {
@@ -184,67 +196,69 @@
   if (Found == Tables_.Vms.end())
     return;
   VmRecord &Vm = *Found->second;
-  emptyVm(Vm, "vm_gone");
+  clearVm(Vm, "vm_gone");
   for (const auto &[Name, Job] : Tables_.Jobs)
     for (const auto &[Number, Occurrence] : Job->Occurrences)
       for (StepRecord &Step : Occurrence->Steps) {
-        Step.Good.erase(&Vm);
-        Step.AskedVms.erase(&Vm);
+        Step.AllowedVms.erase(&Vm);
+        Step.QueriedVms.erase(&Vm);
       }
   Tables_.Vms.erase(Found);
 }
 
-void PoolSchedulerImpl::emptyVm(VmRecord &Vm, std::string_view Reason) {
-  Vm.Claimed = false;
-  dropStrangers(Vm);
+void PoolSchedulerImpl::clearVm(VmRecord &Vm, std::string_view Reason) {
+  Vm.LeaseHeld = false;
+  forgetUnknownRuns(Vm);
   const std::vector<TaskRecord *> Tasks(Vm.Tasks.begin(), Vm.Tasks.end());
   for (TaskRecord *Task : Tasks)
-    lose(*Task, Reason);
+    loseRun(*Task, Reason);
 }
 
-void PoolSchedulerImpl::lose(TaskRecord &Task, std::string_view Reason) {
-  Tables_.Notes.Losses.push_back(
-      RunLoss{TaskRun{nameOf(Task), Task.Run}, Task.Vm->Vm.Id, Reason});
+void PoolSchedulerImpl::loseRun(TaskRecord &Task, std::string_view Reason) {
+  Tables_.Diagnostics.LostRuns.push_back(LostRun{
+      TaskRun{nameOf(Task), Task.Run}, Task.Vm->Description.Id, Reason});
   JobRecord &Job = *Task.Step->Occurrence->Job;
   StepRecord &Step = *Task.Step;
   Tables_.release(Task);
-  // The other members can't work on without it.
+  // The other members of the gang make no progress without it.
   if (Step.Plan->Gang && !isFinal(Job.Stage))
     for (TaskRecord &Member : Step.Tasks)
-      if (Member.onVm())
+      if (Member.isOnVm())
         stopTask(Member);
-  settleJob(Job);
+  archiveFinishedJob(Job);
 }
 
-void PoolSchedulerImpl::countFailure(const TaskRecord &Task) {
+void PoolSchedulerImpl::recordVmFailure(const TaskRecord &Task) {
   VmRecord &Vm = *Task.Vm;
-  const TimePoint Now = Time_.now();
-  // A VM that hangs fails all that it ran: that is one trouble, not many.
+  const TimePoint Now = MonotonicClock_.now();
+  // A VM that hangs fails all its runs at once; that counts as one failure.
   if (Vm.inQuarantine(Now) && Task.PlacedAt < Vm.QuarantinedAt)
     return;
-  if (++Vm.FailuresInARow < Options_.FailuresToQuarantine)
+  if (++Vm.ConsecutiveFailures < Options_.FailuresToQuarantine)
     return;
-  Vm.Quarantine = std::clamp(Vm.Quarantine * 2, Options_.QuarantineMin,
-                             Options_.QuarantineMax);
+  Vm.QuarantineDuration =
+      std::clamp(Vm.QuarantineDuration * 2, Options_.QuarantineMin,
+                 Options_.QuarantineMax);
   Vm.QuarantinedAt = Now;
-  Vm.QuarantinedUntil = Now + Vm.Quarantine;
-  Tables_.Notes.Quarantines.push_back(VmQuarantine{Vm.Vm.Id, Vm.Quarantine});
-  // One failure more after it sends the VM back at once.
-  Vm.FailuresInARow = Options_.FailuresToQuarantine - 1;
+  Vm.QuarantinedUntil = Now + Vm.QuarantineDuration;
+  Tables_.Diagnostics.Quarantines.push_back(
+      VmQuarantine{Vm.Description.Id, Vm.QuarantineDuration});
+  // A single failure after the quarantine starts the next one.
+  Vm.ConsecutiveFailures = Options_.FailuresToQuarantine - 1;
 }
 
 PoolLoad PoolSchedulerImpl::load() const {
   PoolLoad Out;
   for (const auto &[Id, Vm] : Tables_.Vms) {
     ++Out.Vms;
-    Out.HeldVms += Vm->Claimed;
-    Out.Strangers += static_cast<int>(Vm->Strangers.size());
-    Out.UsedCpu += Vm->Used.MilliCores;
-    Out.TotalCpu += Vm->Vm.Total.MilliCores;
+    Out.LeasedVms += Vm->LeaseHeld;
+    Out.UnknownRuns += static_cast<int>(Vm->UnknownRuns.size());
+    Out.UsedMilliCores += Vm->Used.MilliCores;
+    Out.TotalMilliCores += Vm->Description.Total.MilliCores;
     for (const TaskRecord *Task : Vm->Tasks) {
-      Out.Placed += Task->Phase == TaskPhase::Placed;
-      Out.Running += Task->Phase == TaskPhase::Running;
-      Out.Stopping += Task->Phase == TaskPhase::Stopping;
+      Out.PlacedTasks += Task->Phase == TaskPhase::Placed;
+      Out.RunningTasks += Task->Phase == TaskPhase::Running;
+      Out.StoppingTasks += Task->Phase == TaskPhase::Stopping;
     }
   }
   for (const auto &[Id, Job] : Tables_.Jobs) {
@@ -254,7 +268,7 @@
     for (const auto &[Number, Occurrence] : Job->Occurrences)
       for (const StepRecord &Step : Occurrence->Steps)
         if (isReady(Step))
-          Out.WaitingTasks += Step.Waiting;
+          Out.WaitingTasks += Step.WaitingTasks;
   }
   return Out;
 }
@@ -262,7 +276,7 @@
 std::vector<std::string> PoolSchedulerImpl::occupiedVms() const {
   std::vector<std::string> Out;
   for (const auto &[Id, Vm] : Tables_.Vms)
-    if (!Vm->Tasks.empty() || !Vm->Strangers.empty())
+    if (!Vm->Tasks.empty() || !Vm->UnknownRuns.empty())
       Out.push_back(Id);
   return Out;
 }
--- a/packages/pool/src/SchedulingPass.h
+++ b/packages/pool/src/SchedulingPass.h
@@ -8,13 +8,13 @@
 
 namespace cuminroad {
 
-/// One look at all steps that wait: places what fits, in order of urgency, and
-/// reserves VMs for the first ones that do not.
+/// One pass over all waiting steps: places the tasks that fit, in order of
+/// urgency, and reserves VMs for the first steps that are blocked.
 class SchedulingPass {
 public:
-  SchedulingPass(PoolTables &Tables, const WaitingSteps &Queue,
+  SchedulingPass(PoolTables &Tables, const WaitingSteps &Waiting,
                  const PoolOptions &Options, TimePoint Now)
-      : Tables_(Tables), Queue_(Queue), Options_(Options), Now_(Now) {}
+      : Tables_(Tables), Waiting_(Waiting), Options_(Options), Now_(Now) {}
 
   void run();
 
@@ -28,37 +28,52 @@
   void placeStep(StepRecord &Step);
   void placeTasks(StepRecord &Step);
   void placeGang(StepRecord &Step);
-  bool spreadGang(StepRecord &Step, std::string_view Rack,
-                  std::vector<VmRecord *> &Chosen);
-  /// The most room in each part that any open VM has.
-  const Capacity &largestRoom();
-  /// Visits the open VMs that may run the step and, where it needs one, have a
-  /// ticket that holds long enough.
-  template <typename F> void forEachOpen(const StepRecord &Step, F Visit) const;
-  /// Whether one more task of the step may go to the VM now.
-  bool takes(const StepRecord &Step, const VmRecord &Vm) const;
-  /// Whether the VM may run tasks of the step at all, room aside.
-  bool eligible(const StepRecord &Step, const VmRecord &Vm) const;
-  /// Whether work of this length may use a reserved VM.
-  /// Whether the step may try the VM though it is in quarantine.
+  /// Chooses a VM for each member of a gang, from VMs with the label \p Rack,
+  /// or from all VMs if it is "".
+  /// \returns whether there is room for the whole gang.
+  bool chooseGangVms(StepRecord &Step, std::string_view Rack,
+                     std::vector<VmRecord *> &ChosenVms);
+  /// \returns an upper bound of any available VM's free capacity: the maximum
+  /// in each dimension.
+  const Capacity &largestFreeCapacity();
+  /// Visits the VMs that the step may use: those with a ticket that is valid
+  /// for long enough, or all available VMs if the queue needs no advice.
+  template <typename F>
+  void forEachPermittedVm(const StepRecord &Step, F Visit) const;
+  /// \returns whether an eligible VM has room for one more task of the step
+  /// now.
+  bool canPlaceTask(const StepRecord &Step, const VmRecord &Vm) const;
+  /// \returns whether the VM may run tasks of the step, regardless of room.
+  bool isEligible(const StepRecord &Step, const VmRecord &Vm) const;
+  /// \returns whether the step may probe a VM in quarantine.
   bool mayProbe(const StepRecord &Step, const VmRecord &Vm) const;
+  /// \returns whether a reservation of the VM, if any, admits a task of the
+  /// step.
   bool reservationAllows(const StepRecord &Step, const VmRecord &Vm) const;
+  /// \returns the score of placing a task of the step on the VM; lower is
+  /// better.
   double score(const StepRecord &Step, const VmRecord &Vm) const;
-  void start(TaskRecord &Task, VmRecord &Vm, std::int64_t Run);
-  void reserve(StepRecord &Step);
+  void startRun(TaskRecord &Task, VmRecord &Vm, std::int64_t Run);
+  /// Reserves VMs for a blocked step from the earliest time at which they are
+  /// expected to have room for it.
+  void reserveVms(StepRecord &Step);
+  /// Adds a blocked step to the diagnostics, at increasing intervals.
   void reportBlocked(StepRecord &Step);
-  int countFits(const StepRecord &Step, const VmRecord &Vm,
-                TimePoint When) const;
+  /// \returns how many tasks of the step the VM is expected to have room for at
+  /// \p When.
+  int countFitsAt(const StepRecord &Step, const VmRecord &Vm,
+                  TimePoint When) const;
 
   PoolTables &Tables_;
-  const WaitingSteps &Queue_;
+  const WaitingSteps &Waiting_;
   const PoolOptions &Options_;
   TimePoint Now_;
-  /// VMs that take work.
-  std::vector<VmRecord *> Open_;
-  Capacity Largest_;
-  bool LargestKnown_ = false;
-  int Reservations_ = 0;
+  /// VMs that accept work and are not in quarantine or may be probed.
+  std::vector<VmRecord *> AvailableVms_;
+  /// Cached result of largestFreeCapacity(); placing a task invalidates it.
+  Capacity LargestFree_;
+  bool LargestFreeKnown_ = false;
+  int ReservationCount_ = 0;
 };
 
 } // namespace cuminroad
--- a/packages/pool/src/WaitingSteps.cpp
+++ b/packages/pool/src/WaitingSteps.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-/// The order in which steps get room and tickets: less goes first.
+/// The order in which steps get VMs and tickets; lower values go first.
 struct Urgency {
-  /// So late that it is of little value to its caller.
-  bool Hopeless = false;
+  /// So late that the job is of little value to its client.
+  bool VeryLate = false;
   int Priority = 0;
-  /// Behind its objective: those that can still meet theirs go first.
+  /// Past its deadline: steps that can still meet theirs go first.
   bool Late = false;
   TimePoint Deadline{};
 
   friend bool operator<(const Urgency &Left, const Urgency &Right) {
-    return std::tie(Left.Hopeless, Left.Priority, Left.Late, Left.Deadline) <
-           std::tie(Right.Hopeless, Right.Priority, Right.Late, Right.Deadline);
+    return std::tie(Left.VeryLate, Left.Priority, Left.Late, Left.Deadline) <
+           std::tie(Right.VeryLate, Right.Priority, Right.Late, Right.Deadline);
   }
 };
 
-/// The urgency of all steps of an occurrence.
+/// \returns the urgency of all steps of an occurrence.
 Urgency urgencyOf(const OccurrenceRecord &Occurrence,
                   const PoolOptions &Options, TimePoint Now) {
   const JobRecord &Job = *Occurrence.Job;
@@ -31,41 +31,41 @@
   Urgency Out;
   Out.Priority = Job.Terms.Priority;
   Out.Deadline = Occurrence.Due + Objective;
-  // A job that lasts has no end that could be late.
-  if (Job.Plan.lasts())
+  // A long-running job does not end and so is never late.
+  if (Job.Plan.isLongRunning())
     return Out;
   Out.Late = Now > Out.Deadline;
-  Out.Hopeless =
+  Out.VeryLate =
       Now > Occurrence.Due + milliseconds(static_cast<std::int64_t>(
-                                 Options.LateFactor *
+                                 Options.VeryLateFactor *
                                  static_cast<double>(Objective.count())));
   return Out;
 }
 
 } // namespace
 
-WaitingSteps gatherWaiting(const PoolTables &Tables, const PoolOptions &Options,
-                           TimePoint Now) {
+WaitingSteps collectWaitingSteps(const PoolTables &Tables,
+                                 const PoolOptions &Options, TimePoint Now) {
   WaitingSteps Out;
-  std::vector<std::pair<Urgency, StepRecord *>> Found;
+  std::vector<std::pair<Urgency, StepRecord *>> Entries;
   for (const auto &[Id, Job] : Tables.Jobs) {
     if (isFinal(Job->Stage))
       continue;
     for (const auto &[Number, Occurrence] : Job->Occurrences) {
-      const Urgency Order = urgencyOf(*Occurrence, Options, Now);
+      const Urgency StepUrgency = urgencyOf(*Occurrence, Options, Now);
       for (StepRecord &Step : Occurrence->Steps) {
-        Out.Asking += Job->Terms.Advice && Step.Asking;
-        if (Step.Waiting > 0)
-          Found.emplace_back(Order, &Step);
+        Out.PendingAdvice += Job->Terms.Advice && Step.AdvicePending;
+        if (Step.WaitingTasks > 0)
+          Entries.emplace_back(StepUrgency, &Step);
       }
     }
   }
-  std::stable_sort(Found.begin(), Found.end(),
+  std::stable_sort(Entries.begin(), Entries.end(),
                    [](const auto &Left, const auto &Right) {
                      return Left.first < Right.first;
                    });
-  Out.Steps.reserve(Found.size());
-  for (const auto &[Order, Step] : Found)
+  Out.Steps.reserve(Entries.size());
+  for (const auto &[StepUrgency, Step] : Entries)
     Out.Steps.push_back(Step);
   return Out;
 }
