--- a/packages/fleet/include/cuminroad/fleet/AdviceDesk.h
+++ b/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_FLEET_ADVICEDESK_H
-#define CUMINROAD_FLEET_ADVICEDESK_H
+#ifndef CUMINROAD_FLEET_ADVICEDISPATCHER_H
+#define CUMINROAD_FLEET_ADVICEDISPATCHER_H
 
 #include <functional>
 #include <map>
@@ -21,7 +21,7 @@
 /// call at a time from each calling machine, so that a pool's owner alone would
 /// be too slow. Questions wait here, those of urgent queues first, until a
 /// daemon is free. Runs on the control thread.
-class AdviceDesk : public std::enable_shared_from_this<AdviceDesk> {
+class AdviceDispatcher : public std::enable_shared_from_this<AdviceDispatcher> {
 public:
   struct Answer {
     StepName Step;
@@ -34,8 +34,9 @@
   /// Whether an answer is still of use.
   using Needed = std::function<bool(const StepName &)>;
 
-  AdviceDesk(PlacementAdvisor &Own, PeerCalls &Peers, Loop &Home,
-             const Clock &Time, std::string SelfName, Needed Needed, Done Done);
+  AdviceDispatcher(PlacementAdvisor &Own, PeerCalls &Peers, Loop &ControlLoop,
+                   const Clock &MonotonicClock, std::string SelfName,
+                   Needed Needed, Done Done);
 
   void close() { Closed_ = true; }
   /// The other daemons that may be asked.
@@ -78,8 +79,8 @@
 
   PlacementAdvisor &Own_;
   PeerCalls &Peers_;
-  Loop &Home_;
-  const Clock &Time_;
+  Loop &ControlLoop_;
+  const Clock &MonotonicClock_;
   std::string SelfName_;
   Needed Needed_;
   Done Done_;
--- a/packages/fleet/include/cuminroad/fleet/DaemonIdentity.h
+++ b/packages/fleet/include/cuminroad/fleet/DaemonIdentity.h
@@ -11,7 +11,7 @@
   std::string Incarnation;
   std::string Domain;
   /// "address:port" for other daemons.
-  std::string Peer;
+  std::string PeerAddress;
   /// The part of a processor core that the process may use.
   double CpuShare = 1.0;
 };
--- a/packages/fleet/include/cuminroad/fleet/DaemonRow.h
+++ b/packages/fleet/include/cuminroad/fleet/DaemonRow.h
@@ -12,7 +12,7 @@
 /// How a daemon registers itself in the store.
 struct DaemonRow {
   /// "address:port" for other daemons.
-  std::string Peer;
+  std::string PeerAddress;
   /// One life of its process.
   std::string Incarnation;
 
--- a/packages/fleet/include/cuminroad/fleet/FleetContext.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetContext.h
@@ -8,7 +8,7 @@
 #include "cuminroad/fleet/FleetSettings.h"
 #include "cuminroad/fleet/PeerCalls.h"
 #include "cuminroad/fleet/PlacementAdvisor.h"
-#include "cuminroad/fleet/QueueBook.h"
+#include "cuminroad/fleet/QueueRegistry.h"
 #include "cuminroad/fleet/VmCalls.h"
 #include "cuminroad/fleet/VmDirectory.h"
 #include "cuminroad/net/Loop.h"
@@ -21,15 +21,15 @@
 struct FleetContext {
   const FleetSettings &Settings;
   const DaemonIdentity &Self;
-  const Clock &Time;
-  const WallClock &Wall;
+  const Clock &MonotonicClock;
+  const WallClock &SystemClock;
   EventLog &Events;
-  Loop &Home;
+  Loop &ControlLoop;
   RowStore &Store;
   VmCalls &Vms;
   PlacementAdvisor &Advisor;
   PeerCalls &Peers;
-  const QueueBook &Queues;
+  const QueueRegistry &Queues;
   VmDirectory &Directory;
   FleetMetrics &Metrics;
 };
--- a/packages/fleet/include/cuminroad/fleet/FleetDaemon.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetDaemon.h
@@ -7,10 +7,10 @@
 #include "cuminroad/base/Clock.h"
 #include "cuminroad/base/EventLog.h"
 #include "cuminroad/fleet/FleetSettings.h"
-#include "cuminroad/fleet/JobDoor.h"
+#include "cuminroad/fleet/JobFrontend.h"
 #include "cuminroad/fleet/PlacementAdvisor.h"
 #include "cuminroad/fleet/PlatformFormats.h"
-#include "cuminroad/fleet/QueueBook.h"
+#include "cuminroad/fleet/QueueRegistry.h"
 #include "cuminroad/fleet/VmCalls.h"
 #include "cuminroad/net/HttpClient.h"
 #include "cuminroad/net/Loop.h"
@@ -20,12 +20,12 @@
 namespace cuminroad {
 
 /// What a fleet daemon is built on; all of it outlives the daemon.
-struct FleetParts {
+struct FleetDependencies {
   FleetSettings Settings;
-  const Clock &Time;
-  const WallClock &Wall;
+  const Clock &MonotonicClock;
+  const WallClock &SystemClock;
   EventLog &Events;
-  RunnableLoop &Home;
+  RunnableLoop &ControlLoop;
   HttpClient &Client;
   RowStore &Store;
   VmCalls &Vms;
@@ -34,8 +34,8 @@
 };
 
 /// Makes the handler of callers' requests.
-using FrontHandlerMaker =
-    std::function<HttpHandler(const QueueBook &Queues, JobDoor &Door)>;
+using RequestHandlerFactory =
+    std::function<HttpHandler(const QueueRegistry &Queues, JobFrontend &Door)>;
 
 /// A daemon of the fleet: a front door for callers, and the owner of those
 /// pools that it holds the lease of.
@@ -49,8 +49,8 @@
   virtual void stop() = 0;
 };
 
-std::unique_ptr<FleetDaemon> makeFleetDaemon(FleetParts Parts,
-                                             FrontHandlerMaker MakeFront);
+std::unique_ptr<FleetDaemon> makeFleetDaemon(FleetDependencies Parts,
+                                             RequestHandlerFactory MakeFront);
 
 } // namespace cuminroad
 
--- a/packages/fleet/include/cuminroad/fleet/FleetMetrics.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetMetrics.h
@@ -22,16 +22,16 @@
   FleetMetrics();
 
   /// A caller's submission was answered.
-  void submitted(const std::string &Queue, std::string_view Outcome,
-                 milliseconds Took);
+  void recordSubmission(const std::string &Queue, std::string_view Outcome,
+                        milliseconds Duration);
   /// A call of the store ended.
-  void storeCalled(std::string_view Kind, std::string_view Outcome,
-                   milliseconds Took);
-  void runStarted(std::string_view Outcome);
-  void runEnded(std::string_view How);
-  void adviceCame(std::string_view Outcome);
+  void recordStoreCall(std::string_view Kind, std::string_view Outcome,
+                       milliseconds Duration);
+  void recordRunStart(std::string_view Outcome);
+  void recordRunEnd(std::string_view How);
+  void recordAdvice(std::string_view Outcome);
   /// What an owned pool holds; empty loads tell that the pool is not owned.
-  void poolLoad(const std::string &Service, const PoolLoad &Load);
+  void setPoolLoad(const std::string &Service, const PoolLoad &Load);
   /// \returns the text exposition of all metrics.
   std::string render() const;
 
--- a/packages/fleet/include/cuminroad/fleet/FleetSettings.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetSettings.h
@@ -22,13 +22,13 @@
   /// The failure domain of this VM.
   std::string Domain;
   /// For callers.
-  ListenAddress Front;
+  ListenAddress FrontendAddress;
   /// For the balancer, which asks whether to send callers here.
-  ListenAddress Ready;
+  ListenAddress ReadinessAddress;
   /// For the other daemons.
-  ListenAddress Peer;
+  ListenAddress PeerAddress;
   /// For metrics.
-  ListenAddress Metrics;
+  ListenAddress MetricsAddress;
   /// The part of a processor core that this VM may use.
   double CpuShare = 1.0;
   /// Longest lease that a VM grants on what it runs.
@@ -36,9 +36,9 @@
   /// How much longer work takes away from its data.
   double RemoteFactor = 1.0;
   /// How long the state of a finished job can be asked for.
-  seconds KeepFinished{120};
+  seconds FinishedJobRetention{120};
   /// From SIGTERM until the process is killed.
-  milliseconds StopGrace{6000};
+  milliseconds StopGracePeriod{6000};
 };
 
 } // namespace cuminroad
--- a/packages/fleet/include/cuminroad/fleet/JobDoor.h
+++ b/packages/fleet/include/cuminroad/fleet/JobFrontend.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_FLEET_JOBDOOR_H
-#define CUMINROAD_FLEET_JOBDOOR_H
+#ifndef CUMINROAD_FLEET_JOBFRONTEND_H
+#define CUMINROAD_FLEET_JOBFRONTEND_H
 
 #include <functional>
 #include <memory>
@@ -33,23 +33,23 @@
 };
 
 /// The answer to a question about a job or a queue.
-template <typename T> struct DoorAnswer {
+template <typename T> struct QueryResult {
   /// Nothing where the answer is not known at present.
   std::optional<T> Value;
 
-  static DoorAnswer known(T Answer) {
-    DoorAnswer Out;
+  static QueryResult known(T Answer) {
+    QueryResult Out;
     // An answer that is itself empty would be taken for no answer otherwise.
     Out.Value.emplace(std::move(Answer));
     return Out;
   }
-  static DoorAnswer unknown() { return {}; }
+  static QueryResult unknown() { return {}; }
 };
 
 /// Whom to ask about a pool.
-class OwnerFinder {
+class OwnerLookup {
 public:
-  virtual ~OwnerFinder() = default;
+  virtual ~OwnerLookup() = default;
   /// \returns the owner as last read, or null.
   virtual const OwnerRow *ownerOf(std::string_view Service) const = 0;
 };
@@ -58,22 +58,22 @@
 /// accepted by writing its row, under a check that there is none; the pool's
 /// owner hears of it by the store, so that a daemon that is cut off from the
 /// owner still accepts jobs. Runs on the control thread.
-class JobDoor {
+class JobFrontend {
 public:
   using SubmitDone = std::function<void(SubmitReply)>;
   /// Nothing inside a known answer: no such job was ever accepted.
-  using StageDone = std::function<void(DoorAnswer<std::optional<JobStage>>)>;
-  using CountDone = std::function<void(DoorAnswer<int>)>;
+  using StageDone = std::function<void(QueryResult<std::optional<JobStage>>)>;
+  using CountDone = std::function<void(QueryResult<int>)>;
 
-  JobDoor(const FleetContext &Context, const OwnedPools &Owned,
-          const OwnerFinder &Owners)
+  JobFrontend(const FleetContext &Context, const OwnedPools &Owned,
+              const OwnerLookup &Owners)
       : Context_(Context), Owned_(Owned), Owners_(Owners) {}
 
   /// \param Patience how long the caller waits for an answer.
   void submit(const QueueTerms &Queue, JobPlan Plan, milliseconds Patience,
               SubmitDone Done);
   void cancel(std::string_view Job, milliseconds Patience,
-              std::function<void(DoorAnswer<bool>)> Done);
+              std::function<void(QueryResult<bool>)> Done);
   void stage(const QueueTerms &Queue, std::string_view Job,
              milliseconds Patience, StageDone Done);
   void pending(const QueueTerms &Queue, milliseconds Patience, CountDone Done);
@@ -102,7 +102,7 @@
 
   FleetContext Context_;
   const OwnedPools &Owned_;
-  const OwnerFinder &Owners_;
+  const OwnerLookup &Owners_;
 };
 
 } // namespace cuminroad
--- a/packages/fleet/include/cuminroad/fleet/LeaseTimes.h
+++ b/packages/fleet/include/cuminroad/fleet/LeaseTimes.h
@@ -21,23 +21,23 @@
 namespace cuminroad {
 
 /// How often a standby reads the owner row, at least.
-inline constexpr milliseconds OwnerPoll{300};
+inline constexpr milliseconds OwnerPollInterval{300};
 /// How often an owner with nothing to write renews it.
-inline constexpr milliseconds OwnerRenewal{300};
+inline constexpr milliseconds OwnerRenewalInterval{300};
 /// An owner row that does not change for this long may be taken over; three
 /// renewals. Longer by some of the store's delay, up to the maximum.
-inline constexpr milliseconds OwnerLapseMin{1000};
-inline constexpr milliseconds OwnerLapseMax{4000};
-inline constexpr int OwnerLapseDelays = 4;
+inline constexpr milliseconds MinOwnerLease{1000};
+inline constexpr milliseconds MaxOwnerLease{4000};
+inline constexpr int OwnerLeaseDelayFactor = 4;
 /// How long a VM may run tasks without a word of the owner. Outlasts a change
 /// of owners: the lapse, the standby's poll, reading the jobs, and the time
 /// since the last hold before.
 inline constexpr milliseconds TaskLease{4000};
 /// An owner whose last renewal was sent this long ago lets the leases of its
 /// VMs end by then.
-inline constexpr milliseconds HoldLimit{9000};
+inline constexpr milliseconds VmLeaseLimit{9000};
 /// How long a new owner waits for VMs that it can't reach.
-inline constexpr milliseconds InheritedWait{8300};
+inline constexpr milliseconds InheritedLeaseWait{8300};
 
 } // namespace cuminroad
 
--- a/packages/fleet/include/cuminroad/fleet/OwnerRow.h
+++ b/packages/fleet/include/cuminroad/fleet/OwnerRow.h
@@ -18,14 +18,14 @@
   /// One life of the holder's process.
   std::string Incarnation;
   /// "address:port" for other daemons.
-  std::string Peer;
+  std::string PeerAddress;
   /// Rises with each owner; the fencing token of its orders.
   std::int64_t Epoch = 0;
   /// Rises with each transaction of one owner.
   std::int64_t Serial = 0;
   /// The row may be taken over when it has not changed for this long; the owner
   /// asks for more while the store is slow.
-  milliseconds Lapse{0};
+  milliseconds LeaseDuration{0};
 };
 
 std::string encodeOwner(const OwnerRow &Row);
--- a/packages/fleet/include/cuminroad/fleet/PoolLease.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolLease.h
@@ -33,8 +33,8 @@
 /// processor time, wait longer.
 class PoolLease : public std::enable_shared_from_this<PoolLease> {
 public:
-  PoolLease(RowStore &Store, Loop &Home, const Clock &Time, EventLog &Events,
-            const DaemonIdentity &Self, std::string Service);
+  PoolLease(RowStore &Store, Loop &ControlLoop, const Clock &MonotonicClock,
+            EventLog &Events, const DaemonIdentity &Self, std::string Service);
 
   void start();
   /// Never takes the pool over again.
@@ -58,8 +58,8 @@
   milliseconds pollDelay() const;
 
   RowStore &Store_;
-  Loop &Home_;
-  const Clock &Time_;
+  Loop &ControlLoop_;
+  const Clock &MonotonicClock_;
   EventLog &Events_;
   const DaemonIdentity &Self_;
   std::string Service_;
--- a/packages/fleet/include/cuminroad/fleet/PoolOwner.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolOwner.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "cuminroad/fleet/AdviceDesk.h"
+#include "cuminroad/fleet/AdviceDispatcher.h"
 #include "cuminroad/fleet/FleetContext.h"
 #include "cuminroad/fleet/JobRows.h"
 #include "cuminroad/fleet/PoolLease.h"
@@ -68,7 +68,7 @@
 
 private:
   void adviceAnswered(const StepName &Step,
-                      const Result<AdviceDesk::Answer> &Answer);
+                      const Result<AdviceDispatcher::Answer> &Answer);
   void readProgress(std::string From);
   void progressRead(Result<RowPage> Page);
   void loadWhenRead();
@@ -97,14 +97,14 @@
   PoolTerm Term_;
   std::shared_ptr<ChainedWriter> Writer_;
   std::shared_ptr<TableFollower> Requests_;
-  std::shared_ptr<AdviceDesk> Advice_;
+  std::shared_ptr<AdviceDispatcher> Advice_;
   std::unique_ptr<PoolScheduler> Scheduler_;
   TimePoint InheritedUntil_{};
   int DirectoryListener_ = 0;
   std::map<std::string, std::shared_ptr<VmLink>, std::less<>> Links_;
   /// The last end of a VM's life that was taken in.
   struct SeenEnds {
-    std::int64_t Born = 0;
+    std::int64_t Incarnation = 0;
     std::int64_t Last = 0;
   };
   std::map<std::string, SeenEnds> SeenEnds_;
--- a/packages/fleet/include/cuminroad/fleet/QueueBook.h
+++ b/packages/fleet/include/cuminroad/fleet/QueueRegistry.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_FLEET_QUEUEBOOK_H
-#define CUMINROAD_FLEET_QUEUEBOOK_H
+#ifndef CUMINROAD_FLEET_QUEUEREGISTRY_H
+#define CUMINROAD_FLEET_QUEUEREGISTRY_H
 
 #include <string_view>
 
@@ -8,7 +8,7 @@
 namespace cuminroad {
 
 /// The contracts in force in this process. Versions only rise.
-class QueueBook {
+class QueueRegistry {
 public:
   /// \returns whether \p Config is newer than what was in force.
   bool apply(QueueConfig Config);
--- a/packages/fleet/include/cuminroad/fleet/VmCalls.h
+++ b/packages/fleet/include/cuminroad/fleet/VmCalls.h
@@ -78,7 +78,7 @@
   OrderOutcome Outcome = OrderOutcome::Done;
   milliseconds VmClock{0};
   /// When the VM's present life began; 0 where it did not say.
-  std::int64_t Born = 0;
+  std::int64_t Incarnation = 0;
   std::vector<RunningTask> Running;
   std::vector<TaskEnd> Ends;
 };
--- a/packages/fleet/include/cuminroad/fleet/VmLink.h
+++ b/packages/fleet/include/cuminroad/fleet/VmLink.h
@@ -61,8 +61,8 @@
     TimePoint InheritedUntil{};
   };
 
-  VmLink(VmEntry Entry, Options Options, VmCalls &Calls, Loop &Home,
-         const Clock &Time, VmLinkEvents &Events);
+  VmLink(VmEntry Entry, Options Options, VmCalls &Calls, Loop &ControlLoop,
+         const Clock &MonotonicClock, VmLinkEvents &Events);
 
   void start();
   /// Ends the link; nothing is called back after this.
@@ -77,7 +77,7 @@
   bool stopRun(const TaskRun &Run);
   void paceRun(const TaskRun &Run, int Percent);
   /// The ends reported up to \p Number are recorded.
-  void acknowledge(std::int64_t Born, std::int64_t Number);
+  void acknowledge(std::int64_t Incarnation, std::int64_t Number);
 
 private:
   void hold();
@@ -111,8 +111,8 @@
   VmEntry Entry_;
   Options Options_;
   VmCalls &Calls_;
-  Loop &Home_;
-  const Clock &Time_;
+  Loop &ControlLoop_;
+  const Clock &MonotonicClock_;
   VmLinkEvents &Events_;
   bool Closed_ = false;
   bool Held_ = false;
@@ -126,7 +126,7 @@
   int Failures_ = 0;
   /// Failures after which the VM counts as silent, or is told of again.
   int NextSilent_ = 0;
-  std::int64_t Born_ = 0;
+  std::int64_t Incarnation_ = 0;
   std::int64_t Acknowledged_ = 0;
   std::int64_t LastEnd_ = 0;
   TimePoint LastHold_{};
--- a/packages/fleet/src/AdviceDesk.cpp
+++ b/packages/fleet/src/AdviceDispatcher.cpp
@@ -1,4 +1,4 @@
-#include "cuminroad/fleet/AdviceDesk.h"
+#include "cuminroad/fleet/AdviceDispatcher.h"
 
 #include <algorithm>
 #include <tuple>
@@ -29,16 +29,18 @@
 
 } // namespace
 
-AdviceDesk::AdviceDesk(PlacementAdvisor &Own, PeerCalls &Peers, Loop &Home,
-                       const Clock &Time, std::string SelfName, Needed Needed,
-                       Done Done)
-    : Own_(Own), Peers_(Peers), Home_(Home), Time_(Time),
-      SelfName_(std::move(SelfName)), Needed_(std::move(Needed)),
-      Done_(std::move(Done)) {
+AdviceDispatcher::AdviceDispatcher(PlacementAdvisor &Own, PeerCalls &Peers,
+                                   Loop &ControlLoop,
+                                   const Clock &MonotonicClock,
+                                   std::string SelfName, Needed Needed,
+                                   Done Done)
+    : Own_(Own), Peers_(Peers), ControlLoop_(ControlLoop),
+      MonotonicClock_(MonotonicClock), SelfName_(std::move(SelfName)),
+      Needed_(std::move(Needed)), Done_(std::move(Done)) {
   Callers_[SelfName_] = Caller{};
 }
 
-void AdviceDesk::setPeers(const DaemonRows &Others) {
+void AdviceDispatcher::setPeers(const DaemonRows &Others) {
   for (auto &[Name, Entry] : Callers_)
     Entry.Listed = Name == SelfName_ || Others.contains(Name);
   for (const auto &[Name, Row] : Others) {
@@ -54,7 +56,7 @@
   pump();
 }
 
-void AdviceDesk::setQueues(std::span<const QueueRoute> Routes) {
+void AdviceDispatcher::setQueues(std::span<const QueueRoute> Routes) {
   QuickWork_ =
       std::any_of(Routes.begin(), Routes.end(), [](const QueueRoute &Route) {
         return Route.Terms.Advice &&
@@ -63,14 +65,14 @@
       });
 }
 
-void AdviceDesk::ask(const AskAdvice &Ask) {
+void AdviceDispatcher::ask(const AskAdvice &Ask) {
   auto Next = std::make_shared<Question>();
   Next->Ask = Ask;
   Queue_.push_back(std::move(Next));
   pump();
 }
 
-std::vector<std::string> AdviceDesk::freeCallers(bool Quick) const {
+std::vector<std::string> AdviceDispatcher::freeCallers(bool Quick) const {
   std::vector<const std::pair<const std::string, Caller> *> Healthy;
   for (const auto &Entry : Callers_)
     if (Entry.second.Listed && Entry.second.Pause.count() == 0)
@@ -91,8 +93,8 @@
   return Out;
 }
 
-std::string AdviceDesk::suspectToProbe() const {
-  const TimePoint Now = Time_.now();
+std::string AdviceDispatcher::suspectToProbe() const {
+  const TimePoint Now = MonotonicClock_.now();
   for (const auto &[Name, Entry] : Callers_)
     if (Entry.Listed && Entry.Pause.count() > 0 && Entry.Open == 0 &&
         Entry.NotBefore <= Now)
@@ -100,7 +102,7 @@
   return "";
 }
 
-void AdviceDesk::pump() {
+void AdviceDispatcher::pump() {
   // A call may fail at once and come back here; the outer call goes on then.
   PumpAgain_ = true;
   if (Pumping_)
@@ -111,7 +113,7 @@
   Pumping_ = false;
 }
 
-void AdviceDesk::pumpOnce() {
+void AdviceDispatcher::pumpOnce() {
   std::stable_sort(Queue_.begin(), Queue_.end(),
                    [](const QuestionPtr &Left, const QuestionPtr &Right) {
                      // Room waits for those whose tickets are renewed.
@@ -144,15 +146,15 @@
     enqueue(Next);
   // The step may be asked about again later.
   for (const StepName &Step : Unneeded)
-    Done_(Step, Answer{Step, {}, {}, Time_.now()});
+    Done_(Step, Answer{Step, {}, {}, MonotonicClock_.now()});
 }
 
-void AdviceDesk::enqueue(const QuestionPtr &Next) {
+void AdviceDispatcher::enqueue(const QuestionPtr &Next) {
   if (std::find(Queue_.begin(), Queue_.end(), Next) == Queue_.end())
     Queue_.push_back(Next);
 }
 
-void AdviceDesk::send(const std::string &Name, const QuestionPtr &Next) {
+void AdviceDispatcher::send(const std::string &Name, const QuestionPtr &Next) {
   Caller &To = Callers_[Name];
   ++To.Open;
   // A probe of a daemon that failed is no try of its own.
@@ -165,24 +167,25 @@
     if (!Self->Closed_)
       Self->answered(Name, Next, std::move(Good));
   };
-  Home_.after(Expected + HedgeAfter,
-              [Self = shared_from_this(), Next] { Self->hedge(Next); });
+  ControlLoop_.after(Expected + HedgeAfter,
+                     [Self = shared_from_this(), Next] { Self->hedge(Next); });
   if (Name == SelfName_)
     Own_.advise(Ask.Step, Ask.Vms, Expected + CallMargin, std::move(Done));
   else
-    Peers_.advise(To.Daemon.Peer, Ask.Step, Ask.Vms, Expected + CallMargin,
-                  std::move(Done));
+    Peers_.advise(To.Daemon.PeerAddress, Ask.Step, Ask.Vms,
+                  Expected + CallMargin, std::move(Done));
 }
 
-void AdviceDesk::hedge(const QuestionPtr &Sent) {
+void AdviceDispatcher::hedge(const QuestionPtr &Sent) {
   if (Closed_ || Sent->Answered || Sent->Open == 0 || Sent->Tries >= MaxTries)
     return;
   enqueue(Sent);
   pump();
 }
 
-void AdviceDesk::answered(const std::string &Name, const QuestionPtr &Sent,
-                          Result<std::vector<AdviceTicket>> Good) {
+void AdviceDispatcher::answered(const std::string &Name,
+                                const QuestionPtr &Sent,
+                                Result<std::vector<AdviceTicket>> Good) {
   Caller &From = Callers_[Name];
   --From.Open;
   --Sent->Open;
@@ -191,16 +194,17 @@
   } else {
     From.Pause =
         std::clamp(From.Pause * 2, FailedCallerPause, FailedCallerPauseMax);
-    From.NotBefore = Time_.now() + From.Pause;
-    Home_.after(From.Pause, [Self = shared_from_this()] { Self->pump(); });
+    From.NotBefore = MonotonicClock_.now() + From.Pause;
+    ControlLoop_.after(From.Pause,
+                       [Self = shared_from_this()] { Self->pump(); });
   }
   if (!Sent->Answered && (Good || Sent->Open == 0))
     settle(Sent, std::move(Good));
   pump();
 }
 
-void AdviceDesk::settle(const QuestionPtr &Sent,
-                        Result<std::vector<AdviceTicket>> Good) {
+void AdviceDispatcher::settle(const QuestionPtr &Sent,
+                              Result<std::vector<AdviceTicket>> Good) {
   const AskAdvice &Ask = Sent->Ask;
   if (!Good && Sent->Tries < MaxTries) {
     enqueue(Sent);
@@ -208,7 +212,8 @@
   }
   Sent->Answered = true;
   if (Good)
-    Done_(Ask.Step, Answer{Ask.Step, Ask.Vms, std::move(*Good), Time_.now()});
+    Done_(Ask.Step,
+          Answer{Ask.Step, Ask.Vms, std::move(*Good), MonotonicClock_.now()});
   else
     Done_(Ask.Step, tl::unexpected(Good.error()));
 }
--- a/packages/fleet/src/DaemonRow.cpp
+++ b/packages/fleet/src/DaemonRow.cpp
@@ -5,7 +5,7 @@
 namespace cuminroad {
 
 std::string encodeDaemon(const DaemonRow &Row) {
-  return packMessage(nlohmann::json::array({Row.Peer, Row.Incarnation}));
+  return packMessage(nlohmann::json::array({Row.PeerAddress, Row.Incarnation}));
 }
 
 Result<DaemonRow> decodeDaemon(std::string_view Bytes) {
--- a/packages/fleet/src/FleetDaemon.cpp
+++ b/packages/fleet/src/FleetDaemon.cpp
@@ -66,25 +66,31 @@
 
 class FleetDaemonImpl final : public FleetDaemon,
                               public OwnedPools,
-                              public OwnerFinder {
+                              public OwnerLookup {
 public:
-  FleetDaemonImpl(FleetParts Parts, FrontHandlerMaker MakeFront)
-      : Parts_(std::move(Parts)),
-        MakeFront_(std::move(MakeFront)), Self_{Parts_.Settings.Name,
-                                                randomId(),
-                                                Parts_.Settings.Domain,
-                                                Parts_.Settings.Peer.text(),
-                                                Parts_.Settings.CpuShare},
+  FleetDaemonImpl(FleetDependencies Parts, RequestHandlerFactory MakeFront)
+      : Parts_(std::move(Parts)), MakeFront_(std::move(MakeFront)),
+        Self_{Parts_.Settings.Name, randomId(), Parts_.Settings.Domain,
+              Parts_.Settings.PeerAddress.text(), Parts_.Settings.CpuShare},
         Peers_(Parts_.Client),
-        Store_(Parts_.Store, Parts_.Client, Parts_.Home, Parts_.Time,
-               Parts_.Events, Metrics_, [this] { return relayPeers(); }),
+        Store_(Parts_.Store, Parts_.Client, Parts_.ControlLoop,
+               Parts_.MonotonicClock, Parts_.Events, Metrics_,
+               [this] { return relayPeers(); }),
         Directory_(Parts_.Formats, Parts_.Events),
         Config_([this] { configChanged(); }),
-        Daemons_([this] { daemonsChanged(); }),
-        Context_{Parts_.Settings, Self_,       Parts_.Time, Parts_.Wall,
-                 Parts_.Events,   Parts_.Home, Store_,      Parts_.Vms,
-                 Parts_.Advisor,  Peers_,      Queues_,     Directory_,
-                 Metrics_},
+        Daemons_([this] { daemonsChanged(); }), Context_{Parts_.Settings,
+                                                         Self_,
+                                                         Parts_.MonotonicClock,
+                                                         Parts_.SystemClock,
+                                                         Parts_.Events,
+                                                         Parts_.ControlLoop,
+                                                         Store_,
+                                                         Parts_.Vms,
+                                                         Parts_.Advisor,
+                                                         Peers_,
+                                                         Queues_,
+                                                         Directory_,
+                                                         Metrics_},
         Door_(Context_, *this, *this) {}
 
   void start() override;
@@ -113,20 +119,20 @@
   void finish();
   std::vector<std::string> relayPeers() const;
 
-  FleetParts Parts_;
-  FrontHandlerMaker MakeFront_;
+  FleetDependencies Parts_;
+  RequestHandlerFactory MakeFront_;
   DaemonIdentity Self_;
   FleetMetrics Metrics_;
   PeerCalls Peers_;
   RelayedStore Store_;
-  QueueBook Queues_;
+  QueueRegistry Queues_;
   VmDirectory Directory_;
   RowMap Config_;
   RowMap Daemons_;
   /// The other daemons that have registered.
   DaemonRows Others_;
   FleetContext Context_;
-  JobDoor Door_;
+  JobFrontend Door_;
   std::unique_ptr<HttpServer> Front_;
   std::unique_ptr<HttpServer> Ready_;
   std::unique_ptr<HttpServer> PeerServer_;
@@ -145,13 +151,13 @@
   HttpServerOptions Options;
   Options.Address = At.Address;
   Options.Port = At.Port;
-  return startLoopHttpServer(Parts_.Home, Options, std::move(Handler));
+  return startLoopHttpServer(Parts_.ControlLoop, Options, std::move(Handler));
 }
 
 std::shared_ptr<TableFollower>
 FleetDaemonImpl::follow(std::string Table, RowSink &Sink, milliseconds Gather) {
   auto Out = std::make_shared<TableFollower>(
-      Store_, Parts_.Home,
+      Store_, Parts_.ControlLoop,
       FollowOptions{
           .Table = std::move(Table), .Partitions = {""}, .Gather = Gather},
       Sink);
@@ -160,19 +166,19 @@
 }
 
 void FleetDaemonImpl::start() {
-  PeerServer_ =
-      listen(Parts_.Settings.Peer,
-             makePeerHandler(*this, Parts_.Advisor, Parts_.Store, Parts_.Time));
-  Ready_ = listen(Parts_.Settings.Ready,
+  PeerServer_ = listen(Parts_.Settings.PeerAddress,
+                       makePeerHandler(*this, Parts_.Advisor, Parts_.Store,
+                                       Parts_.MonotonicClock));
+  Ready_ = listen(Parts_.Settings.ReadinessAddress,
                   [this](const HttpRequest &, const HttpResponder &Respond) {
                     Respond(plain(ready() ? 200 : 503));
                   });
   MetricsServer_ =
-      listen(Parts_.Settings.Metrics,
+      listen(Parts_.Settings.MetricsAddress,
              [this](const HttpRequest &, const HttpResponder &Respond) {
                Respond(HttpResponse{200, {}, Metrics_.render(), MetricsType});
              });
-  Front_ = listen(Parts_.Settings.Front, MakeFront_(Queues_, Door_));
+  Front_ = listen(Parts_.Settings.FrontendAddress, MakeFront_(Queues_, Door_));
   Parts_.Events.record(EventId::DaemonStarted, Self_.Name, Self_.Incarnation);
   Followers_ = {follow(Parts_.Formats.configTable(), Config_),
                 follow(std::string(DaemonTable), Daemons_)};
@@ -186,12 +192,13 @@
   RowTransaction Change;
   Change.Puts.push_back(
       RowPut{RowName{std::string(DaemonTable), "", Self_.Name},
-             encodeDaemon(DaemonRow{Self_.Peer, Self_.Incarnation})});
+             encodeDaemon(DaemonRow{Self_.PeerAddress, Self_.Incarnation})});
   Store_.commit(std::move(Change), WriteTimeout,
                 [this](const Result<RowCommit> &Outcome) {
                   if (Outcome && Outcome->committed())
                     return;
-                  Parts_.Home.after(WriteRetry, [this] { registerSelf(); });
+                  Parts_.ControlLoop.after(WriteRetry,
+                                           [this] { registerSelf(); });
                 });
 }
 
@@ -223,7 +230,7 @@
 std::vector<std::string> FleetDaemonImpl::relayPeers() const {
   std::vector<std::string> Out;
   for (const auto &[Name, Row] : Others_)
-    Out.push_back(Row.Peer);
+    Out.push_back(Row.PeerAddress);
   return Out;
 }
 
@@ -243,8 +250,9 @@
 void FleetDaemonImpl::watchPool(const std::string &Service) {
   if (Leases_.contains(Service) || Stopping_)
     return;
-  auto Lease = std::make_shared<PoolLease>(
-      Parts_.Store, Parts_.Home, Parts_.Time, Parts_.Events, Self_, Service);
+  auto Lease = std::make_shared<PoolLease>(Parts_.Store, Parts_.ControlLoop,
+                                           Parts_.MonotonicClock, Parts_.Events,
+                                           Self_, Service);
   Lease->PoolsOwned = [this] { return static_cast<int>(Owners_.size()); };
   Lease->OnTaken = [this](const PoolTerm &Term) { poolTaken(Term); };
   Leases_[Service] = Lease;
@@ -296,12 +304,13 @@
 }
 
 void FleetDaemonImpl::check() {
-  const bool Away = Parts_.Time.now() - Store_.lastContact() > StoreAwayUnready;
+  const bool Away =
+      Parts_.MonotonicClock.now() - Store_.lastContact() > StoreAwayUnready;
   if (Away != StoreAway_ && Queues_.known())
     Parts_.Events.record(Away ? EventId::StoreLost : EventId::StoreBack,
                          Self_.Name);
   StoreAway_ = Away;
-  Parts_.Home.after(CheckInterval, [this] { check(); });
+  Parts_.ControlLoop.after(CheckInterval, [this] { check(); });
 }
 
 void FleetDaemonImpl::stop() {
@@ -309,8 +318,8 @@
     return;
   Stopping_ = true;
   Parts_.Events.record(EventId::DaemonStopping, Self_.Name);
-  const TimePoint Until =
-      Parts_.Time.now() + Parts_.Settings.StopGrace - StopMargin;
+  const TimePoint Until = Parts_.MonotonicClock.now() +
+                          Parts_.Settings.StopGracePeriod - StopMargin;
   for (const auto &[Service, Lease] : Leases_)
     Lease->stop();
   for (const auto &[Service, Owner] : Owners_)
@@ -321,16 +330,16 @@
     // A row that stays only costs others a failed call.
   });
   Front_->announceClose();
-  Parts_.Home.after(LeaveRotation, [this, Until] {
+  Parts_.ControlLoop.after(LeaveRotation, [this, Until] {
     Front_->drain();
     drain(Until);
   });
 }
 
 void FleetDaemonImpl::drain(TimePoint Until) {
-  if (Front_->inFlight() == 0 || Parts_.Time.now() >= Until)
+  if (Front_->inFlight() == 0 || Parts_.MonotonicClock.now() >= Until)
     return finish();
-  Parts_.Home.after(DrainPoll, [this, Until] { drain(Until); });
+  Parts_.ControlLoop.after(DrainPoll, [this, Until] { drain(Until); });
 }
 
 void FleetDaemonImpl::finish() {
@@ -338,13 +347,13 @@
     Owner->close();
   Parts_.Events.record(EventId::DaemonStopped, Self_.Name);
   // The last answers still have to leave the sockets.
-  Parts_.Home.after(DrainPoll, [this] { Parts_.Home.stop(); });
+  Parts_.ControlLoop.after(DrainPoll, [this] { Parts_.ControlLoop.stop(); });
 }
 
 } // namespace
 
-std::unique_ptr<FleetDaemon> makeFleetDaemon(FleetParts Parts,
-                                             FrontHandlerMaker MakeFront) {
+std::unique_ptr<FleetDaemon> makeFleetDaemon(FleetDependencies Parts,
+                                             RequestHandlerFactory MakeFront) {
   return std::make_unique<FleetDaemonImpl>(std::move(Parts),
                                            std::move(MakeFront));
 }
--- a/packages/fleet/src/FleetMetrics.cpp
+++ b/packages/fleet/src/FleetMetrics.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// Milliseconds of a second, thousandths of a core.
-constexpr double ThousandthsOfUnit = 1000.0;
+constexpr double ThousandthsPerUnit = 1000.0;
 
-const prometheus::Histogram::BucketBoundaries Seconds{
+const prometheus::Histogram::BucketBoundaries LatencyBuckets{
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5};
 
-double toSeconds(milliseconds Span) {
-  return static_cast<double>(Span.count()) / ThousandthsOfUnit;
+double toSeconds(milliseconds Duration) {
+  return static_cast<double>(Duration.count()) / ThousandthsPerUnit;
 }
 
 prometheus::Family<prometheus::Counter> &
@@ -55,35 +55,39 @@
       PoolCores_(gauges(Registry_, "cuminroad_pool_cores",
                         "Cores of an owned pool, in use and in all.")) {}
 
-void FleetMetrics::submitted(const std::string &Queue, std::string_view Outcome,
-                             milliseconds Took) {
+void FleetMetrics::recordSubmission(const std::string &Queue,
+                                    std::string_view Outcome,
+                                    milliseconds Duration) {
   Submissions_.Add({{"queue", Queue}, {"outcome", std::string(Outcome)}})
       .Increment();
-  SubmissionSeconds_.Add({{"queue", Queue}}, Seconds).Observe(toSeconds(Took));
+  SubmissionSeconds_.Add({{"queue", Queue}}, LatencyBuckets)
+      .Observe(toSeconds(Duration));
 }
 
-void FleetMetrics::storeCalled(std::string_view Kind, std::string_view Outcome,
-                               milliseconds Took) {
+void FleetMetrics::recordStoreCall(std::string_view Kind,
+                                   std::string_view Outcome,
+                                   milliseconds Duration) {
   StoreCalls_
       .Add({{"kind", std::string(Kind)}, {"outcome", std::string(Outcome)}})
       .Increment();
-  StoreSeconds_.Add({{"kind", std::string(Kind)}}, Seconds)
-      .Observe(toSeconds(Took));
+  StoreSeconds_.Add({{"kind", std::string(Kind)}}, LatencyBuckets)
+      .Observe(toSeconds(Duration));
 }
 
-void FleetMetrics::runStarted(std::string_view Outcome) {
+void FleetMetrics::recordRunStart(std::string_view Outcome) {
   Starts_.Add({{"outcome", std::string(Outcome)}}).Increment();
 }
 
-void FleetMetrics::runEnded(std::string_view How) {
+void FleetMetrics::recordRunEnd(std::string_view How) {
   Ends_.Add({{"how", std::string(How)}}).Increment();
 }
 
-void FleetMetrics::adviceCame(std::string_view Outcome) {
+void FleetMetrics::recordAdvice(std::string_view Outcome) {
   Advice_.Add({{"outcome", std::string(Outcome)}}).Increment();
 }
 
-void FleetMetrics::poolLoad(const std::string &Service, const PoolLoad &Load) {
+void FleetMetrics::setPoolLoad(const std::string &Service,
+                               const PoolLoad &Load) {
   const std::pair<const char *, int> Tasks[] = {{"waiting", Load.WaitingTasks},
                                                 {"placed", Load.Placed},
                                                 {"running", Load.Running},
@@ -94,9 +98,9 @@
   PoolVms_.Add({{"pool", Service}, {"state", "listed"}}).Set(Load.Vms);
   PoolVms_.Add({{"pool", Service}, {"state", "held"}}).Set(Load.HeldVms);
   PoolCores_.Add({{"pool", Service}, {"state", "used"}})
-      .Set(static_cast<double>(Load.UsedCpu) / ThousandthsOfUnit);
+      .Set(static_cast<double>(Load.UsedCpu) / ThousandthsPerUnit);
   PoolCores_.Add({{"pool", Service}, {"state", "total"}})
-      .Set(static_cast<double>(Load.TotalCpu) / ThousandthsOfUnit);
+      .Set(static_cast<double>(Load.TotalCpu) / ThousandthsPerUnit);
 }
 
 std::string FleetMetrics::render() const {
--- a/packages/fleet/src/JobDoor.cpp
+++ b/packages/fleet/src/JobFrontend.cpp
@@ -1,4 +1,4 @@
-#include "cuminroad/fleet/JobDoor.h"
+#include "cuminroad/fleet/JobFrontend.h"
 
 #include <algorithm>
 
@@ -49,7 +49,7 @@
 
 } // namespace
 
-struct JobDoor::Submission {
+struct JobFrontend::Submission {
   JobRequest Request;
   TimePoint Began;
   /// The caller waits until then.
@@ -61,22 +61,23 @@
   bool Uncertain = false;
 };
 
-struct JobDoor::Cancellation {
+struct JobFrontend::Cancellation {
   std::string Job;
   TimePoint Until;
-  std::function<void(DoorAnswer<bool>)> Done;
+  std::function<void(QueryResult<bool>)> Done;
 };
 
-milliseconds JobDoor::left(TimePoint Until) const {
-  return std::chrono::duration_cast<milliseconds>(Until - Context_.Time.now());
+milliseconds JobFrontend::left(TimePoint Until) const {
+  return std::chrono::duration_cast<milliseconds>(
+      Until - Context_.MonotonicClock.now());
 }
 
-void JobDoor::submit(const QueueTerms &Queue, JobPlan Plan,
-                     milliseconds Patience, SubmitDone Done) {
+void JobFrontend::submit(const QueueTerms &Queue, JobPlan Plan,
+                         milliseconds Patience, SubmitDone Done) {
   auto Open = std::make_shared<Submission>();
   Open->Request = JobRequest{Queue.Name, Queue.Service,
                              Context_.Store.storeTime(), std::move(Plan)};
-  const TimePoint Now = Context_.Time.now();
+  const TimePoint Now = Context_.MonotonicClock.now();
   Open->Began = Now;
   Open->Until = Now + Patience - AnswerMargin;
   Open->HoldUntil =
@@ -86,7 +87,7 @@
   write(std::move(Open));
 }
 
-void JobDoor::write(std::shared_ptr<Submission> Open) {
+void JobFrontend::write(std::shared_ptr<Submission> Open) {
   const RowName Row = requestRow(Open->Request.Plan.Id);
   RowTransaction Change;
   Change.Checks.push_back(RowCheck{Row, 0});
@@ -99,8 +100,8 @@
                         });
 }
 
-void JobDoor::written(std::shared_ptr<Submission> Open,
-                      Result<RowCommit> Outcome) {
+void JobFrontend::written(std::shared_ptr<Submission> Open,
+                          Result<RowCommit> Outcome) {
   const std::string &Job = Open->Request.Plan.Id;
   if (Outcome) {
     // A conflict means that the job is there already: it remains one job.
@@ -111,7 +112,7 @@
   }
   Open->Uncertain =
       Open->Uncertain || Outcome.error().Code == ErrorCode::WriteOutcomeUnknown;
-  const TimePoint Now = Context_.Time.now();
+  const TimePoint Now = Context_.MonotonicClock.now();
   // What is uncertain is tried for as long as the caller waits, since nothing
   // better can be told; what was certainly not accepted, for a part of it.
   if (Now < (Open->Uncertain ? Open->Until : Open->HoldUntil))
@@ -125,19 +126,19 @@
   finish(*Open, SubmitReply{SubmitOutcome::NotAccepted, StoreRetryAfter});
 }
 
-void JobDoor::finish(const Submission &Open, const SubmitReply &Reply) {
+void JobFrontend::finish(const Submission &Open, const SubmitReply &Reply) {
   constexpr std::string_view Names[] = {"accepted", "not_accepted", "unknown"};
-  Context_.Metrics.submitted(Open.Request.Queue,
-                             Names[static_cast<std::size_t>(Reply.Outcome)],
-                             std::chrono::duration_cast<milliseconds>(
-                                 Context_.Time.now() - Open.Began));
+  Context_.Metrics.recordSubmission(
+      Open.Request.Queue, Names[static_cast<std::size_t>(Reply.Outcome)],
+      std::chrono::duration_cast<milliseconds>(Context_.MonotonicClock.now() -
+                                               Open.Began));
   Open.Done(Reply);
 }
 
-void JobDoor::writeWhenReachable(std::shared_ptr<Submission> Open,
-                                 TimePoint FailedAt) {
-  Context_.Home.after(RetryDelay, [this, Open, FailedAt] {
-    const TimePoint Now = Context_.Time.now();
+void JobFrontend::writeWhenReachable(std::shared_ptr<Submission> Open,
+                                     TimePoint FailedAt) {
+  Context_.ControlLoop.after(RetryDelay, [this, Open, FailedAt] {
+    const TimePoint Now = Context_.MonotonicClock.now();
     const bool Reached = Context_.Store.lastContact() > FailedAt;
     // Other calls show that the store is back; a try of each waiting caller
     // would only add to its load.
@@ -149,27 +150,27 @@
   });
 }
 
-void JobDoor::cancel(std::string_view Job, milliseconds Patience,
-                     std::function<void(DoorAnswer<bool>)> Done) {
+void JobFrontend::cancel(std::string_view Job, milliseconds Patience,
+                         std::function<void(QueryResult<bool>)> Done) {
   auto Open = std::make_shared<Cancellation>();
   Open->Job = Job;
-  Open->Until = Context_.Time.now() + Patience - AnswerMargin;
+  Open->Until = Context_.MonotonicClock.now() + Patience - AnswerMargin;
   Open->Done = std::move(Done);
   findForCancel(std::move(Open));
 }
 
-void JobDoor::retryCancel(std::shared_ptr<Cancellation> Open) {
+void JobFrontend::retryCancel(std::shared_ptr<Cancellation> Open) {
   if (left(Open->Until) <= RetryDelay)
-    return Open->Done(DoorAnswer<bool>::unknown());
-  Context_.Home.after(RetryDelay, [this, Open] { findForCancel(Open); });
+    return Open->Done(QueryResult<bool>::unknown());
+  Context_.ControlLoop.after(RetryDelay, [this, Open] { findForCancel(Open); });
 }
 
-void JobDoor::findForCancel(std::shared_ptr<Cancellation> Open) {
+void JobFrontend::findForCancel(std::shared_ptr<Cancellation> Open) {
   const TimePoint Until = Open->Until;
   readUntil(requestRange(Open->Job), Until,
             [this, Open](const std::optional<RowPage> &Page) {
               if (!Page)
-                return Open->Done(DoorAnswer<bool>::unknown());
+                return Open->Done(QueryResult<bool>::unknown());
               std::int64_t Version = 0;
               bool Cancelled = false;
               for (const StoredRow &Each : Page->Rows) {
@@ -178,13 +179,13 @@
                   Version = Each.Version;
               }
               if (Version == 0 || Cancelled)
-                return Open->Done(DoorAnswer<bool>::known(Version != 0));
+                return Open->Done(QueryResult<bool>::known(Version != 0));
               writeCancel(Open, Version);
             });
 }
 
-void JobDoor::writeCancel(std::shared_ptr<Cancellation> Open,
-                          std::int64_t RequestVersion) {
+void JobFrontend::writeCancel(std::shared_ptr<Cancellation> Open,
+                              std::int64_t RequestVersion) {
   RowTransaction Change;
   Change.Checks.push_back(RowCheck{requestRow(Open->Job), RequestVersion});
   Change.Puts.push_back(RowPut{cancelRow(Open->Job), "1"});
@@ -195,35 +196,36 @@
                             return retryCancel(Open);
                           Context_.Events.record(EventId::JobCancelled,
                                                  Open->Job);
-                          Open->Done(DoorAnswer<bool>::known(true));
+                          Open->Done(QueryResult<bool>::known(true));
                         });
 }
 
-void JobDoor::stage(const QueueTerms &Queue, std::string_view Id,
-                    milliseconds Patience, StageDone Done) {
+void JobFrontend::stage(const QueueTerms &Queue, std::string_view Id,
+                        milliseconds Patience, StageDone Done) {
   const std::string Job(Id);
-  const TimePoint Until = Context_.Time.now() + Patience - AnswerMargin;
+  const TimePoint Until =
+      Context_.MonotonicClock.now() + Patience - AnswerMargin;
   if (Owned_.owns(Queue.Service)) {
     const auto Stage = Owned_.stage(Queue.Service, Job);
     if (Stage)
-      return Done(DoorAnswer<std::optional<JobStage>>::known(Stage));
+      return Done(QueryResult<std::optional<JobStage>>::known(Stage));
     return readStage(Job, Until, std::move(Done));
   }
   const OwnerRow *Owner = Owners_.ownerOf(Queue.Service);
-  if (Owner == nullptr || Owner->Peer.empty())
+  if (Owner == nullptr || Owner->PeerAddress.empty())
     return readStage(Job, Until, std::move(Done));
   Context_.Peers.stage(
-      Owner->Peer, Queue.Service, Job, OwnerTimeout,
+      Owner->PeerAddress, Queue.Service, Job, OwnerTimeout,
       [this, Job, Until,
        Done = std::move(Done)](Result<std::optional<JobStage>> Stage) {
         if (Stage && *Stage)
-          return Done(DoorAnswer<std::optional<JobStage>>::known(*Stage));
+          return Done(QueryResult<std::optional<JobStage>>::known(*Stage));
         // The owner may not have heard of it yet; the store decides.
         readStage(Job, Until, Done);
       });
 }
 
-void JobDoor::readUntil(RowRange Range, TimePoint Until, ReadDone Done) {
+void JobFrontend::readUntil(RowRange Range, TimePoint Until, ReadDone Done) {
   Context_.Store.read(
       Range, std::clamp(left(Until), RetryDelay, ReadTimeout),
       [this, Range, Until, Done = std::move(Done)](Result<RowPage> Page) {
@@ -231,14 +233,14 @@
           return Done(std::move(*Page));
         if (left(Until) <= RetryDelay)
           return Done(std::nullopt);
-        Context_.Home.after(RetryDelay, [this, Range, Until, Done] {
+        Context_.ControlLoop.after(RetryDelay, [this, Range, Until, Done] {
           readUntil(Range, Until, Done);
         });
       });
 }
 
-void JobDoor::readStage(std::string Job, TimePoint Until, StageDone Done) {
-  using Answer = DoorAnswer<std::optional<JobStage>>;
+void JobFrontend::readStage(std::string Job, TimePoint Until, StageDone Done) {
+  using Answer = QueryResult<std::optional<JobStage>>;
   RowRange Range = requestRange(Job);
   readUntil(std::move(Range), Until,
             [this, Job = std::move(Job), Until,
@@ -257,9 +259,9 @@
             });
 }
 
-void JobDoor::readProgress(std::string_view Service, const std::string &Job,
-                           TimePoint Until, StageDone Done) {
-  using Answer = DoorAnswer<std::optional<JobStage>>;
+void JobFrontend::readProgress(std::string_view Service, const std::string &Job,
+                               TimePoint Until, StageDone Done) {
+  using Answer = QueryResult<std::optional<JobStage>>;
   const RowName Row = progressRow(Service, Job);
   readUntil(
       RowRange{Row.Table, Row.Partition, Row.Key, keyAfter(Row.Key), 1}, Until,
@@ -278,19 +280,19 @@
       });
 }
 
-void JobDoor::pending(const QueueTerms &Queue, milliseconds Patience,
-                      CountDone Done) {
+void JobFrontend::pending(const QueueTerms &Queue, milliseconds Patience,
+                          CountDone Done) {
   if (Owned_.owns(Queue.Service))
     return Done(
-        DoorAnswer<int>::known(Owned_.pending(Queue.Service, Queue.Name)));
+        QueryResult<int>::known(Owned_.pending(Queue.Service, Queue.Name)));
   const OwnerRow *Owner = Owners_.ownerOf(Queue.Service);
-  if (Owner == nullptr || Owner->Peer.empty())
-    return Done(DoorAnswer<int>::unknown());
-  Context_.Peers.pending(Owner->Peer, Queue.Service, Queue.Name,
+  if (Owner == nullptr || Owner->PeerAddress.empty())
+    return Done(QueryResult<int>::unknown());
+  Context_.Peers.pending(Owner->PeerAddress, Queue.Service, Queue.Name,
                          std::min(Patience - AnswerMargin, ReadTimeout),
                          [Done = std::move(Done)](const Result<int> &Count) {
-                           Done(Count ? DoorAnswer<int>::known(*Count)
-                                      : DoorAnswer<int>::unknown());
+                           Done(Count ? QueryResult<int>::known(*Count)
+                                      : QueryResult<int>::unknown());
                          });
 }
 
--- a/packages/fleet/src/OwnerRow.cpp
+++ b/packages/fleet/src/OwnerRow.cpp
@@ -5,9 +5,9 @@
 namespace cuminroad {
 
 std::string encodeOwner(const OwnerRow &Row) {
-  return packMessage(
-      nlohmann::json::array({Row.Holder, Row.Incarnation, Row.Peer, Row.Epoch,
-                             Row.Serial, Row.Lapse.count()}));
+  return packMessage(nlohmann::json::array(
+      {Row.Holder, Row.Incarnation, Row.PeerAddress, Row.Epoch, Row.Serial,
+       Row.LeaseDuration.count()}));
 }
 
 Result<OwnerRow> decodeOwner(std::string_view Bytes) {
@@ -15,10 +15,10 @@
     OwnerRow Out;
     Out.Holder = Input.at(0).get<std::string>();
     Out.Incarnation = Input.at(1).get<std::string>();
-    Out.Peer = Input.at(2).get<std::string>();
+    Out.PeerAddress = Input.at(2).get<std::string>();
     Out.Epoch = Input.at(3).get<std::int64_t>();
     Out.Serial = Input.at(4).get<std::int64_t>();
-    Out.Lapse = milliseconds(Input.at(5).get<std::int64_t>());
+    Out.LeaseDuration = milliseconds(Input.at(5).get<std::int64_t>());
     return Out;
   });
 }
--- a/packages/fleet/src/PoolLease.cpp
+++ b/packages/fleet/src/PoolLease.cpp
@@ -28,11 +28,11 @@
 
 } // namespace
 
-PoolLease::PoolLease(RowStore &Store, Loop &Home, const Clock &Time,
-                     EventLog &Events, const DaemonIdentity &Self,
-                     std::string Service)
-    : Store_(Store), Home_(Home), Time_(Time), Events_(Events), Self_(Self),
-      Service_(std::move(Service)),
+PoolLease::PoolLease(RowStore &Store, Loop &ControlLoop,
+                     const Clock &MonotonicClock, EventLog &Events,
+                     const DaemonIdentity &Self, std::string Service)
+    : Store_(Store), ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
+      Events_(Events), Self_(Self), Service_(std::move(Service)),
       Rank_(static_cast<std::int64_t>(
           std::hash<std::string>{}(Self.Name + "/" + Service_) %
           RankSpreadMs)) {}
@@ -43,7 +43,7 @@
   Mine_ = false;
   SeenVersion_ = -1;
   if (!Polling_)
-    pollLater(OwnerPoll);
+    pollLater(OwnerPollInterval);
 }
 
 milliseconds PoolLease::standbyDelay() const {
@@ -56,12 +56,12 @@
 
 milliseconds PoolLease::pollDelay() const {
   // A row that did not change since the last look may be about to lapse.
-  return Unchanged_ ? SuspiciousPoll : OwnerPoll + Rank_;
+  return Unchanged_ ? SuspiciousPoll : OwnerPollInterval + Rank_;
 }
 
 void PoolLease::pollLater(milliseconds Delay) {
   Polling_ = true;
-  Home_.after(Delay, [Self = shared_from_this()] { Self->poll(); });
+  ControlLoop_.after(Delay, [Self = shared_from_this()] { Self->poll(); });
 }
 
 void PoolLease::poll() {
@@ -78,14 +78,14 @@
                 if (Page)
                   Self->examine(*Page);
                 else
-                  Self->SeenAt_ = Self->Time_.now();
+                  Self->SeenAt_ = Self->MonotonicClock_.now();
                 if (!Self->Mine_ && !Self->Polling_)
                   Self->pollLater(Self->pollDelay());
               });
 }
 
 void PoolLease::examine(const RowPage &Page) {
-  const TimePoint Now = Time_.now();
+  const TimePoint Now = MonotonicClock_.now();
   const std::int64_t Version =
       Page.Rows.empty() ? 0 : Page.Rows.front().Version;
   Owner_ = OwnerRow{};
@@ -110,19 +110,19 @@
   const milliseconds Wait =
       standbyDelay() +
       (Vacant ? milliseconds(0)
-              : std::clamp(Owner_.Lapse, OwnerLapseMin, OwnerLapseMax));
+              : std::clamp(Owner_.LeaseDuration, MinOwnerLease, MaxOwnerLease));
   if (Now - SeenAt_ >= Wait)
     take(Version, Owner_.Epoch > 0);
 }
 
 void PoolLease::take(std::int64_t Version, bool Inherited) {
-  const OwnerRow Row{Self_.Name, Self_.Incarnation,
-                     Self_.Peer, Owner_.Epoch + 1,
-                     0,          OwnerLapseMax};
+  const OwnerRow Row{
+      Self_.Name, Self_.Incarnation, Self_.PeerAddress, Owner_.Epoch + 1,
+      0,          MaxOwnerLease};
   RowTransaction Change;
   Change.Checks.push_back(RowCheck{ownerRow(Service_), Version});
   Change.Puts.push_back(RowPut{ownerRow(Service_), encodeOwner(Row)});
-  TakeSentAt_ = Time_.now();
+  TakeSentAt_ = MonotonicClock_.now();
   TakeInherited_ = Inherited;
   Polling_ = true;
   Store_.commit(std::move(Change), TakeTimeout,
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include "RunText.h"
+#include "RunFormat.h"
 #include "cuminroad/fleet/LeaseTimes.h"
 
 namespace cuminroad {
@@ -46,11 +46,12 @@
     : Context_(Context), Term_(std::move(Term)) {}
 
 std::string PoolOwner::headValue(std::int64_t Serial) const {
-  const milliseconds Lapse =
-      std::clamp(OwnerLapseMin + Writer_->recentDelay() * OwnerLapseDelays,
-                 OwnerLapseMin, OwnerLapseMax);
+  const milliseconds LeaseDuration =
+      std::clamp(MinOwnerLease + Writer_->recentDelay() * OwnerLeaseDelayFactor,
+                 MinOwnerLease, MaxOwnerLease);
   return encodeOwner(OwnerRow{Context_.Self.Name, Context_.Self.Incarnation,
-                              Context_.Self.Peer, Term_.Epoch, Serial, Lapse});
+                              Context_.Self.PeerAddress, Term_.Epoch, Serial,
+                              LeaseDuration});
 }
 
 std::int64_t PoolOwner::serialOf(const std::string &HeadValue) const {
@@ -62,25 +63,26 @@
 
 void PoolOwner::start() {
   if (Term_.Inherited)
-    InheritedUntil_ = Context_.Time.now() + InheritedWait;
+    InheritedUntil_ = Context_.MonotonicClock.now() + InheritedLeaseWait;
   Writer_ = std::make_shared<ChainedWriter>(
-      Context_.Store, Context_.Home, Context_.Time,
+      Context_.Store, Context_.ControlLoop, Context_.MonotonicClock,
       ChainedWriter::Head{
           ownerRow(Term_.Service),
           [this](std::int64_t Serial) { return headValue(Serial); },
           [this](const std::string &Value) { return serialOf(Value); }});
   Writer_->OnReplaced = [this] { replaced(); };
   Writer_->begin(Term_.RowVersion, Term_.WrittenAt);
-  Advice_ = std::make_shared<AdviceDesk>(
-      Context_.Advisor, Context_.Peers, Context_.Home, Context_.Time,
-      Context_.Self.Name,
+  Advice_ = std::make_shared<AdviceDispatcher>(
+      Context_.Advisor, Context_.Peers, Context_.ControlLoop,
+      Context_.MonotonicClock, Context_.Self.Name,
       [this](const StepName &Step) { return Scheduler_->wantsAdvice(Step); },
-      [this](const StepName &Step, const Result<AdviceDesk::Answer> &Answer) {
+      [this](const StepName &Step,
+             const Result<AdviceDispatcher::Answer> &Answer) {
         adviceAnswered(Step, Answer);
       });
   Advice_->setQueues(Context_.Queues.config().Routes);
   Requests_ = std::make_shared<TableFollower>(
-      Context_.Store, Context_.Home,
+      Context_.Store, Context_.ControlLoop,
       FollowOptions{.Table = std::string(RequestTable),
                     .Partitions = requestPartitions(),
                     .Gather = GatherRequests},
@@ -91,8 +93,8 @@
 }
 
 void PoolOwner::adviceAnswered(const StepName &Step,
-                               const Result<AdviceDesk::Answer> &Answer) {
-  Context_.Metrics.adviceCame(Answer ? "answered" : "failed");
+                               const Result<AdviceDispatcher::Answer> &Answer) {
+  Context_.Metrics.recordAdvice(Answer ? "answered" : "failed");
   if (!Answer) {
     Context_.Events.record(EventId::AdviceFailed, Step.Job,
                            Answer.error().text());
@@ -116,7 +118,7 @@
   if (Closed_)
     return;
   Closed_ = true;
-  Context_.Metrics.poolLoad(Term_.Service, PoolLoad{});
+  Context_.Metrics.setPoolLoad(Term_.Service, PoolLoad{});
   if (DirectoryListener_ != 0)
     Context_.Directory.removeListener(DirectoryListener_);
   Writer_->close();
@@ -164,17 +166,16 @@
 
 void PoolOwner::readProgress(std::string From) {
   const RowName First = progressRow(Term_.Service, From);
-  Context_.Store.read(RowRange{First.Table, First.Partition, First.Key, ""},
-                      ReadTimeout,
-                      [Self = shared_from_this(), From](Result<RowPage> Page) {
-                        if (Self->Closed_)
-                          return;
-                        if (Page)
-                          return Self->progressRead(std::move(Page));
-                        Self->Context_.Home.after(ReadRetry, [Self, From] {
-                          Self->readProgress(From);
-                        });
-                      });
+  Context_.Store.read(
+      RowRange{First.Table, First.Partition, First.Key, ""}, ReadTimeout,
+      [Self = shared_from_this(), From](Result<RowPage> Page) {
+        if (Self->Closed_)
+          return;
+        if (Page)
+          return Self->progressRead(std::move(Page));
+        Self->Context_.ControlLoop.after(
+            ReadRetry, [Self, From] { Self->readProgress(From); });
+      });
 }
 
 void PoolOwner::progressRead(Result<RowPage> Page) {
@@ -236,14 +237,15 @@
   Terms.Name = Request.Queue;
   const milliseconds Age = std::max(
       Context_.Store.storeTime() - Request.AcceptedAt, milliseconds(0));
-  const TimePoint Accepted = Context_.Time.now() - Age;
+  const TimePoint Accepted = Context_.MonotonicClock.now() - Age;
   const auto Progress = ReadProgress_.find(Job);
   if (Progress == ReadProgress_.end()) {
     Scheduler_->addJob(std::move(Request.Plan), std::move(Terms), Accepted);
     return;
   }
   if (isFinal(Progress->second.Stage))
-    Final_[Job] = FinalStage{Progress->second.Stage, Context_.Time.now()};
+    Final_[Job] =
+        FinalStage{Progress->second.Stage, Context_.MonotonicClock.now()};
   Scheduler_->restoreJob(std::move(Request.Plan), std::move(Terms), Accepted,
                          Progress->second);
 }
@@ -258,7 +260,7 @@
 void PoolOwner::loadWhenRead() {
   if (!RequestsRead_ || !ProgressRead_ || Scheduler_)
     return;
-  Scheduler_ = makePoolScheduler(Context_.Time, Context_.Wall,
+  Scheduler_ = makePoolScheduler(Context_.MonotonicClock, Context_.SystemClock,
                                  poolOptions(Context_.Settings));
   for (auto &[Job, Request] : ReadRequests_)
     applyRequest(std::move(Request));
@@ -294,19 +296,19 @@
   if (PassPlanned_ || Closed_ || !Scheduler_)
     return;
   PassPlanned_ = true;
-  const auto Since =
-      std::chrono::duration_cast<milliseconds>(Context_.Time.now() - LastPass_);
+  const auto Since = std::chrono::duration_cast<milliseconds>(
+      Context_.MonotonicClock.now() - LastPass_);
   const milliseconds Interval = std::max(PassInterval, PassTook_ * PassShare);
-  Context_.Home.after(std::max(Interval - Since, milliseconds(0)),
-                      [Self = shared_from_this()] {
-                        Self->PassPlanned_ = false;
-                        if (!Self->Closed_)
-                          Self->pass();
-                      });
+  Context_.ControlLoop.after(std::max(Interval - Since, milliseconds(0)),
+                             [Self = shared_from_this()] {
+                               Self->PassPlanned_ = false;
+                               if (!Self->Closed_)
+                                 Self->pass();
+                             });
 }
 
 void PoolOwner::pass() {
-  LastPass_ = Context_.Time.now();
+  LastPass_ = Context_.MonotonicClock.now();
   Scheduler_->setStartDelay(Writer_->expectedDelay() + SendDelay);
   if (LastPass_ - Writer_->renewedAt() <
       StoreStall + Writer_->recentDelay() * StoreStallDelays)
@@ -315,8 +317,8 @@
     std::visit([this](const auto &Do) { execute(Do); }, Command);
   tellNotes();
   recordChanges();
-  PassTook_ =
-      std::chrono::duration_cast<milliseconds>(Context_.Time.now() - LastPass_);
+  PassTook_ = std::chrono::duration_cast<milliseconds>(
+      Context_.MonotonicClock.now() - LastPass_);
 }
 
 void PoolOwner::execute(const StartRun &Do) { Starts_.push_back(Do); }
@@ -324,11 +326,11 @@
 void PoolOwner::execute(const StopRun &Do) {
   VmLink *Link = link(Do.Vm);
   if (Link != nullptr && Link->stopRun(Do.Run))
-    Context_.Events.record(EventId::RunStopped, runText(Do.Run), Do.Vm);
+    Context_.Events.record(EventId::RunStopped, formatRun(Do.Run), Do.Vm);
 }
 
 void PoolOwner::execute(const PaceRun &Do) {
-  Context_.Events.record(EventId::RunPaced, runText(Do.Run),
+  Context_.Events.record(EventId::RunPaced, formatRun(Do.Run),
                          fmt::format("{} percent {}", Do.Vm, Do.Percent));
   if (VmLink *Link = link(Do.Vm))
     Link->paceRun(Do.Run, Do.Percent);
@@ -339,7 +341,7 @@
 void PoolOwner::tellNotes() {
   const PoolNotes Notes = Scheduler_->takeNotes();
   for (const RunLoss &Loss : Notes.Losses)
-    Context_.Events.record(EventId::RunLost, runText(Loss.Run),
+    Context_.Events.record(EventId::RunLost, formatRun(Loss.Run),
                            fmt::format("{} {}", Loss.Vm, Loss.Reason));
   for (const VmQuarantine &Each : Notes.Quarantines)
     Context_.Events.record(EventId::VmQuarantined, Each.Vm,
@@ -373,7 +375,8 @@
     if (Self->Closed_)
       return;
     for (const auto &[Job, Stage] : Finals) {
-      Self->Final_[Job] = FinalStage{Stage, Self->Context_.Time.now()};
+      Self->Final_[Job] =
+          FinalStage{Stage, Self->Context_.MonotonicClock.now()};
       Self->Context_.Events.record(EventId::JobStage, Job, jobStageName(Stage));
     }
     for (const StartRun &Start : Starts) {
@@ -387,12 +390,12 @@
 }
 
 void PoolOwner::tellLoad() {
-  const TimePoint Now = Context_.Time.now();
+  const TimePoint Now = Context_.MonotonicClock.now();
   if (Now - LastLoad_ < LoadInterval)
     return;
   LastLoad_ = Now;
   const PoolLoad Load = Scheduler_->load();
-  Context_.Metrics.poolLoad(Term_.Service, Load);
+  Context_.Metrics.setPoolLoad(Term_.Service, Load);
   if (Load.Jobs == 0)
     return;
   Context_.Events.record(
@@ -409,8 +412,8 @@
 void PoolOwner::renewRegularly() {
   if (Closed_)
     return;
-  const TimePoint Now = Context_.Time.now();
-  if (Now - Writer_->renewedAt() >= OwnerRenewal)
+  const TimePoint Now = Context_.MonotonicClock.now();
+  if (Now - Writer_->renewedAt() >= OwnerRenewalInterval)
     Writer_->renew();
   if (Scheduler_) {
     checkUnlistedVms();
@@ -419,15 +422,16 @@
     if (Now - LastCleaning_ >= CleaningInterval)
       forgetOldJobs();
   }
-  Context_.Home.after(IdlePass,
-                      [Self = shared_from_this()] { Self->renewRegularly(); });
+  Context_.ControlLoop.after(
+      IdlePass, [Self = shared_from_this()] { Self->renewRegularly(); });
 }
 
 void PoolOwner::forgetOldJobs() {
-  const TimePoint Now = Context_.Time.now();
+  const TimePoint Now = Context_.MonotonicClock.now();
   LastCleaning_ = Now;
   for (auto Entry = Final_.begin(); Entry != Final_.end();) {
-    if (Now - Entry->second.At < Context_.Settings.KeepFinished + KeepMargin) {
+    if (Now - Entry->second.At <
+        Context_.Settings.FinishedJobRetention + KeepMargin) {
       ++Entry;
       continue;
     }
--- a/packages/fleet/src/PoolOwnerVms.cpp
+++ b/packages/fleet/src/PoolOwnerVms.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include "RunText.h"
+#include "RunFormat.h"
 #include "cuminroad/fleet/LeaseTimes.h"
 
 namespace cuminroad {
@@ -26,14 +26,14 @@
         Entry,
         VmLink::Options{Term_.Epoch, Context_.Settings.MaxTaskLease,
                         InheritedUntil_},
-        Context_.Vms, Context_.Home, Context_.Time, *this);
+        Context_.Vms, Context_.ControlLoop, Context_.MonotonicClock, *this);
     Link->start();
   }
   wake();
 }
 
 void PoolOwner::checkUnlistedVms() {
-  const TimePoint Now = Context_.Time.now();
+  const TimePoint Now = Context_.MonotonicClock.now();
   const auto &Listed = Context_.Directory.entries();
   for (auto Entry = Links_.begin(); Entry != Links_.end();) {
     const auto Found = Listed.find(Entry->first);
@@ -59,35 +59,37 @@
 }
 
 TimePoint PoolOwner::leaseLimit() const {
-  return Writer_->renewedAt() + HoldLimit;
+  return Writer_->renewedAt() + VmLeaseLimit;
 }
 
 void PoolOwner::reported(VmLink &Link, const HoldAnswer &Answer,
                          TimePoint AskedAt) {
   SeenEnds &Seen = SeenEnds_[Link.vm()];
-  if (Seen.Born != Answer.Born)
-    Seen = SeenEnds{Answer.Born, 0};
+  if (Seen.Incarnation != Answer.Incarnation)
+    Seen = SeenEnds{Answer.Incarnation, 0};
   std::int64_t Last = 0;
   for (const TaskEnd &End : Answer.Ends) {
     Last = std::max(Last, End.Number);
     // Ends are listed again until they are acknowledged.
     if (End.Number <= Seen.Last)
       continue;
-    Context_.Metrics.runEnded(endName(End.How));
-    Context_.Events.record(EventId::RunEnded, runText(End.Run),
-                           fmt::format("{} {}", Link.vm(), endName(End.How)));
+    Context_.Metrics.recordRunEnd(runEndName(End.How));
+    Context_.Events.record(
+        EventId::RunEnded, formatRun(End.Run),
+        fmt::format("{} {}", Link.vm(), runEndName(End.How)));
     Scheduler_->taskEnded(Link.vm(), End);
   }
   Seen.Last = std::max(Seen.Last, Last);
-  Scheduler_->vmReported(Link.vm(), Answer.Born, Answer.Running, AskedAt);
+  Scheduler_->vmReported(Link.vm(), Answer.Incarnation, Answer.Running,
+                         AskedAt);
   if (Last > 0) {
     recordChanges();
-    Writer_->whenCommitted(
-        [Self = shared_from_this(), Vm = Link.vm(), Born = Answer.Born, Last] {
-          VmLink *Target = Self->link(Vm);
-          if (!Self->Closed_ && Target != nullptr)
-            Target->acknowledge(Born, Last);
-        });
+    Writer_->whenCommitted([Self = shared_from_this(), Vm = Link.vm(),
+                            Incarnation = Answer.Incarnation, Last] {
+      VmLink *Target = Self->link(Vm);
+      if (!Self->Closed_ && Target != nullptr)
+        Target->acknowledge(Incarnation, Last);
+    });
   }
   wake();
 }
@@ -113,17 +115,17 @@
   Context_.Events.record(EventId::VmClaimRefused, Link.vm(),
                          fmt::format("epoch {}", Term_.Epoch));
   // Later, since the link that calls is ended by it.
-  Context_.Home.post([Self = shared_from_this()] { Self->replaced(); });
+  Context_.ControlLoop.post([Self = shared_from_this()] { Self->replaced(); });
 }
 
 void PoolOwner::startAnswered(VmLink &Link, const TaskRun &Run,
                               StartOutcome Outcome, std::string_view Why) {
-  Context_.Metrics.runStarted(Outcome == StartOutcome::Accepted ? "accepted"
-                                                                : Why);
+  Context_.Metrics.recordRunStart(Outcome == StartOutcome::Accepted ? "accepted"
+                                                                    : Why);
   if (Outcome == StartOutcome::Accepted)
-    Context_.Events.record(EventId::RunStarted, runText(Run), Link.vm());
+    Context_.Events.record(EventId::RunStarted, formatRun(Run), Link.vm());
   else
-    Context_.Events.record(EventId::RunRefused, runText(Run),
+    Context_.Events.record(EventId::RunRefused, formatRun(Run),
                            fmt::format("{} {}", Link.vm(), Why));
   Scheduler_->startAnswered(Link.vm(), Run, Outcome);
   if (Outcome != StartOutcome::Accepted)
--- a/packages/fleet/src/QueueBook.cpp
+++ b/packages/fleet/src/QueueRegistry.cpp
@@ -1,16 +1,16 @@
-#include "cuminroad/fleet/QueueBook.h"
+#include "cuminroad/fleet/QueueRegistry.h"
 
 namespace cuminroad {
 
-bool QueueBook::apply(QueueConfig Config) {
+bool QueueRegistry::apply(QueueConfig Config) {
   if (Config.Version <= Config_.Version)
     return false;
   Config_ = std::move(Config);
   return true;
 }
 
-const QueueRoute *QueueBook::match(std::string_view Host,
-                                   std::string_view Path) const {
+const QueueRoute *QueueRegistry::match(std::string_view Host,
+                                       std::string_view Path) const {
   const std::string_view Name = Host.substr(0, Host.find(':'));
   const QueueRoute *Best = nullptr;
   for (const QueueRoute &Route : Config_.Routes)
@@ -20,7 +20,7 @@
   return Best;
 }
 
-const QueueTerms *QueueBook::terms(std::string_view Queue) const {
+const QueueTerms *QueueRegistry::terms(std::string_view Queue) const {
   for (const QueueRoute &Route : Config_.Routes)
     if (Route.Terms.Name == Queue)
       return &Route.Terms;
--- a/packages/fleet/src/RelayedStore.cpp
+++ b/packages/fleet/src/RelayedStore.cpp
@@ -53,7 +53,7 @@
                       std::function<void(Result<T>)> Done) {
   return [this, Kind, Done = std::move(Done),
           Begin = Time_.now()](Result<T> Outcome) {
-    Metrics_.storeCalled(
+    Metrics_.recordStoreCall(
         Kind, Outcome ? "answered" : errorInfo(Outcome.error().Code).Name,
         std::chrono::duration_cast<milliseconds>(Time_.now() - Begin));
     Done(std::move(Outcome));
--- a/packages/fleet/src/RunText.cpp
+++ b/packages/fleet/src/RunFormat.cpp
@@ -1,16 +1,16 @@
-#include "RunText.h"
+#include "RunFormat.h"
 
 #include <fmt/format.h>
 
 namespace cuminroad {
 
-std::string runText(const TaskRun &Run) {
+std::string formatRun(const TaskRun &Run) {
   return fmt::format("{}.{}.{}.{}#{}", Run.Task.Step.Job,
                      Run.Task.Step.Occurrence, Run.Task.Step.Step,
                      Run.Task.Index, Run.Number);
 }
 
-std::string_view endName(RunEnd How) {
+std::string_view runEndName(RunEnd How) {
   constexpr std::string_view Names[] = {"done",   "failed", "stopped",
                                         "lapsed", "broken", "alone"};
   return Names[static_cast<std::size_t>(How)];
--- a/packages/fleet/src/RunText.h
+++ b/packages/fleet/src/RunFormat.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_FLEET_SRC_RUNTEXT_H
-#define CUMINROAD_FLEET_SRC_RUNTEXT_H
+#ifndef CUMINROAD_FLEET_SRC_RUNFORMAT_H
+#define CUMINROAD_FLEET_SRC_RUNFORMAT_H
 
 #include <string>
 #include <string_view>
@@ -9,9 +9,9 @@
 namespace cuminroad {
 
 /// \returns JOB.OCCURRENCE.STEP.TASK#RUN, as log lines name a run.
-std::string runText(const TaskRun &Run);
+std::string formatRun(const TaskRun &Run);
 /// \returns the word of log lines and metrics for how a run ended.
-std::string_view endName(RunEnd How);
+std::string_view runEndName(RunEnd How);
 
 } // namespace cuminroad
 
--- a/packages/fleet/src/VmLink.cpp
+++ b/packages/fleet/src/VmLink.cpp
@@ -54,10 +54,12 @@
 
 } // namespace
 
-VmLink::VmLink(VmEntry Entry, Options Options, VmCalls &Calls, Loop &Home,
-               const Clock &Time, VmLinkEvents &Events)
-    : Entry_(std::move(Entry)), Options_(Options), Calls_(Calls), Home_(Home),
-      Time_(Time), Events_(Events) {}
+VmLink::VmLink(VmEntry Entry, Options Options, VmCalls &Calls,
+               Loop &ControlLoop, const Clock &MonotonicClock,
+               VmLinkEvents &Events)
+    : Entry_(std::move(Entry)), Options_(Options), Calls_(Calls),
+      ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
+      Events_(Events) {}
 
 void VmLink::start() { hold(); }
 
@@ -70,13 +72,13 @@
 
 void VmLink::noteClock(milliseconds VmClock) {
   VmClock_ = VmClock;
-  VmClockAt_ = Time_.now();
+  VmClockAt_ = MonotonicClock_.now();
 }
 
 std::optional<milliseconds> VmLink::leaseUntil() {
   if (!VmClock_)
     return std::nullopt;
-  const TimePoint Now = Time_.now();
+  const TimePoint Now = MonotonicClock_.now();
   const milliseconds Allowed =
       std::chrono::duration_cast<milliseconds>(Events_.leaseLimit() - Now);
   const milliseconds Lease =
@@ -95,7 +97,7 @@
   if (Closed_ || Holding_)
     return;
   Holding_ = true;
-  LastHold_ = Time_.now();
+  LastHold_ = MonotonicClock_.now();
   HoldOrder Order;
   Order.AcknowledgedEnd = Acknowledged_;
   if (Failures_ == 0 && Held_) {
@@ -134,8 +136,8 @@
 
 void VmLink::holdSucceeded(TimePoint SentAt, const HoldAnswer &Answer) {
   noteClock(Answer.VmClock);
-  if (Answer.Born != Born_) {
-    Born_ = Answer.Born;
+  if (Answer.Incarnation != Incarnation_) {
+    Incarnation_ = Answer.Incarnation;
     Acknowledged_ = 0;
     LastEnd_ = 0;
     LatestLease_ = milliseconds(0);
@@ -167,12 +169,12 @@
     stopRun(Run);
 }
 
-void VmLink::acknowledge(std::int64_t Born, std::int64_t Number) {
-  if (Closed_ || Born != Born_ || Number <= Acknowledged_)
+void VmLink::acknowledge(std::int64_t Incarnation, std::int64_t Number) {
+  if (Closed_ || Incarnation != Incarnation_ || Number <= Acknowledged_)
     return;
   Acknowledged_ = Number;
-  const auto Since =
-      std::chrono::duration_cast<milliseconds>(Time_.now() - LastHold_);
+  const auto Since = std::chrono::duration_cast<milliseconds>(
+      MonotonicClock_.now() - LastHold_);
   HoldPlanned_ = false;
   holdLater(std::max(HoldPause - Since, milliseconds(0)));
 }
@@ -181,7 +183,7 @@
   if (HoldPlanned_ || Holding_ || Closed_)
     return;
   HoldPlanned_ = true;
-  Home_.after(Delay, [Self = shared_from_this(), Plan = ++HoldPlan_] {
+  ControlLoop_.after(Delay, [Self = shared_from_this(), Plan = ++HoldPlan_] {
     if (Self->HoldPlanned_ && Self->HoldPlan_ == Plan)
       Self->hold();
   });
@@ -206,7 +208,7 @@
 void VmLink::checkLapse() {
   if (Closed_ || Failures_ == 0 || LapsedTold_)
     return;
-  const TimePoint Now = Time_.now();
+  const TimePoint Now = MonotonicClock_.now();
   TimePoint LapsesAt = Options_.InheritedUntil;
   if (Held_)
     LapsesAt = TimePoint{};
@@ -214,7 +216,8 @@
     LapsesAt = std::max(LapsesAt, certainlyPast(LatestLease_));
   if (Now >= LapsesAt)
     return tellLapsed();
-  Home_.after(LapseCheck, [Self = shared_from_this()] { Self->checkLapse(); });
+  ControlLoop_.after(LapseCheck,
+                     [Self = shared_from_this()] { Self->checkLapse(); });
 }
 
 TimePoint VmLink::certainlyPast(milliseconds VmTime) const {
@@ -230,7 +233,7 @@
 }
 
 void VmLink::startRun(const StartRun &Command, const std::string &Spec) {
-  if (Time_.now() + TicketMargin > Command.TicketUntil)
+  if (MonotonicClock_.now() + TicketMargin > Command.TicketUntil)
     return Events_.startAnswered(*this, Command.Run,
                                  StartOutcome::TicketExpired, "not_sent");
   sendStart(StartOrder{Command.Run, Spec, milliseconds(0), Command.Checkpoint,
@@ -267,8 +270,8 @@
 
 void VmLink::expireStart(const StartOrder &Order) {
   const auto Delay = std::chrono::duration_cast<milliseconds>(
-      certainlyPast(Order.LeaseUntil) - Time_.now());
-  Home_.after(Delay, [Self = shared_from_this(), Run = Order.Run] {
+      certainlyPast(Order.LeaseUntil) - MonotonicClock_.now());
+  ControlLoop_.after(Delay, [Self = shared_from_this(), Run = Order.Run] {
     // The VM accepts it no more. If it did, its lists tell.
     if (!Self->Closed_ && Self->OpenStarts_.contains(Run))
       Self->settleStart(Run, StartOutcome::OldRun, "no_certain_answer");
@@ -311,7 +314,7 @@
 }
 
 void VmLink::repeatStart(const StartOrder &Order, int Tries) {
-  Home_.after(OrderRetry, [Self = shared_from_this(), Order, Tries] {
+  ControlLoop_.after(OrderRetry, [Self = shared_from_this(), Order, Tries] {
     Self->sendStart(Order, Tries + 1);
   });
 }
@@ -343,7 +346,7 @@
                   Self->OpenStops_.erase(Run);
                   return;
                 }
-                Self->Home_.after(OrderRetry, [Self, Run, Tries] {
+                Self->ControlLoop_.after(OrderRetry, [Self, Run, Tries] {
                   Self->sendStop(Run, Tries + 1);
                 });
               });
--- a/packages/fleet/tests/AdviceDeskTest.cpp
+++ b/packages/fleet/tests/AdviceDispatcherTest.cpp
@@ -2,8 +2,8 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "PoolTrial.h"
-#include "cuminroad/fleet/AdviceDesk.h"
+#include "PoolTestSupport.h"
+#include "cuminroad/fleet/AdviceDispatcher.h"
 
 using namespace cuminroad;
 
@@ -12,35 +12,36 @@
 /// Fails while it is away; names all VMs otherwise.
 class MoodyAdvisor final : public PlacementAdvisor {
 public:
-  explicit MoodyAdvisor(FakeLoop &Home) : Home_(Home) {}
+  explicit MoodyAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
   void advise(const StepName &Step, std::span<const std::string> Vms,
               milliseconds, Done Done) override {
     ++Calls;
     if (Away) {
-      Home_.after(milliseconds(20),
-                  [Done] { Done(failure(ErrorCode::ConnectFailed)); });
+      ControlLoop_.after(milliseconds(20),
+                         [Done] { Done(failure(ErrorCode::ConnectFailed)); });
       return;
     }
     std::vector<AdviceTicket> Good;
     for (const std::string &Vm : Vms)
       Good.push_back(AdviceTicket{Vm, Step.Job});
-    Home_.after(milliseconds(20), [Good, Done] { Done(Good); });
+    ControlLoop_.after(milliseconds(20), [Good, Done] { Done(Good); });
   }
   bool Away = false;
   int Calls = 0;
 
 private:
-  FakeLoop &Home_;
+  FakeLoop &ControlLoop_;
 };
 
 struct Fixture {
-  Fixture() : Advisor(Home), Peers(Http) {
-    Desk = std::make_shared<AdviceDesk>(
-        Advisor, Peers, Home, Home.Time, "self",
+  Fixture() : Advisor(ControlLoop), Peers(Http) {
+    Desk = std::make_shared<AdviceDispatcher>(
+        Advisor, Peers, ControlLoop, ControlLoop.Time, "self",
         [this](const StepName &) { return Needed; },
-        [this](const StepName &Step, const Result<AdviceDesk::Answer> &Answer) {
+        [this](const StepName &Step,
+               const Result<AdviceDispatcher::Answer> &Answer) {
           if (Answer)
-            AnsweredAt = Home.Time.now();
+            AnsweredAt = ControlLoop.Time.now();
           else
             Desk->ask(question(Step));
           LastAsked = Answer ? Answer->Asked.size() : 0;
@@ -52,11 +53,11 @@
     return AskAdvice{Step, {"vm1", "vm2"}, 20, 0, false};
   }
 
-  FakeLoop Home;
+  FakeLoop ControlLoop;
   MoodyAdvisor Advisor;
   NoHttp Http;
   PeerCalls Peers;
-  std::shared_ptr<AdviceDesk> Desk;
+  std::shared_ptr<AdviceDispatcher> Desk;
   bool Needed = true;
   std::optional<TimePoint> AnsweredAt;
   std::size_t LastAsked = 0;
@@ -74,11 +75,11 @@
     Trial.Desk->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
     Trial.Advisor.Away = true;
     Trial.Desk->ask(Fixture::question(Step));
-    Trial.Home.runFor(milliseconds(AwayMs));
+    Trial.ControlLoop.runFor(milliseconds(AwayMs));
     BOOST_CHECK(!Trial.AnsweredAt);
     Trial.Advisor.Away = false;
-    const TimePoint Back = Trial.Home.Time.now();
-    Trial.Home.runFor(milliseconds(12000));
+    const TimePoint Back = Trial.ControlLoop.Time.now();
+    Trial.ControlLoop.runFor(milliseconds(12000));
     BOOST_REQUIRE_MESSAGE(Trial.AnsweredAt, AwayMs << " ms away");
     BOOST_CHECK_MESSAGE(*Trial.AnsweredAt - Back <= milliseconds(2000),
                         AwayMs << " ms away");
@@ -88,7 +89,7 @@
 BOOST_FIXTURE_TEST_CASE(droppedQuestionIsAnsweredWithNothing, Fixture) {
   Needed = false;
   Desk->ask(Fixture::question(Step));
-  Home.runFor(milliseconds(1000));
+  ControlLoop.runFor(milliseconds(1000));
   BOOST_CHECK(AnsweredAt);
   BOOST_CHECK_EQUAL(LastAsked, 0);
   BOOST_CHECK_EQUAL(Advisor.Calls, 0);
@@ -98,7 +99,7 @@
   // All calls to peers fail at once.
   Desk->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
   Desk->ask(Fixture::question(Step));
-  Home.runFor(milliseconds(1000));
+  ControlLoop.runFor(milliseconds(1000));
   BOOST_REQUIRE(AnsweredAt);
   BOOST_CHECK_EQUAL(LastAsked, 2);
 }
--- a/packages/fleet/tests/JobDoorTest.cpp
+++ b/packages/fleet/tests/JobFrontendTest.cpp
@@ -5,8 +5,8 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "PoolTrial.h"
-#include "cuminroad/fleet/JobDoor.h"
+#include "PoolTestSupport.h"
+#include "cuminroad/fleet/JobFrontend.h"
 #include "cuminroad/pool/JobProgress.h"
 
 using namespace cuminroad;
@@ -15,7 +15,7 @@
 
 constexpr milliseconds Patience{3000};
 
-class OneOwner final : public OwnerFinder {
+class OneOwner final : public OwnerLookup {
 public:
   const OwnerRow *ownerOf(std::string_view) const override {
     return Known ? &Row : nullptr;
@@ -26,18 +26,18 @@
 
 struct Fixture {
   Fixture()
-      : Vms(Home), Store(Rows, Home), Calls(Vms, Home),
-        Events("a", 100, nullptr), Peers(Http), Advisor(Home),
-        Directory(Formats, Events), Context{Settings, Self,   Home.Time,
-                                            Wall,     Events, Home,
-                                            Store,    Calls,  Advisor,
-                                            Peers,    Queues, Directory,
-                                            Metrics},
+      : Vms(ControlLoop), Store(Rows, ControlLoop), Calls(Vms, ControlLoop),
+        Events("a", 100, nullptr), Peers(Http), Advisor(ControlLoop),
+        Directory(Formats, Events),
+        Context{
+            Settings, Self,  ControlLoop.Time, SystemClock, Events, ControlLoop,
+            Store,    Calls, Advisor,          Peers,       Queues, Directory,
+            Metrics},
         Door(Context, Pools, Owners) {
     Queue.Name = "q";
     Queue.Service = TrialService;
     // The store has answered before.
-    Home.runFor(milliseconds(1000));
+    ControlLoop.runFor(milliseconds(1000));
   }
 
   void submit(const std::string &Id) {
@@ -47,11 +47,12 @@
     Step.Tasks = 1;
     Step.PerTask = TrialTask;
     Plan.Steps.push_back(Step);
-    const TimePoint Began = Home.Time.now();
+    const TimePoint Began = ControlLoop.Time.now();
     Door.submit(Queue, Plan, Patience, [this, Id, Began](SubmitReply Reply) {
       ++Replies;
       Last = Reply;
-      Took = std::chrono::duration_cast<milliseconds>(Home.Time.now() - Began);
+      Took = std::chrono::duration_cast<milliseconds>(ControlLoop.Time.now() -
+                                                      Began);
     });
   }
   bool written(const std::string &Id) const {
@@ -60,24 +61,24 @@
   std::optional<bool> cancel(const std::string &Id) {
     std::optional<bool> Out;
     Door.cancel(Id, Patience,
-                [&Out](DoorAnswer<bool> Answer) { Out = Answer.Value; });
-    Home.runFor(2 * Patience);
+                [&Out](QueryResult<bool> Answer) { Out = Answer.Value; });
+    ControlLoop.runFor(2 * Patience);
     return Out;
   }
   std::optional<std::optional<JobStage>> stage(const std::string &Id) {
     std::optional<std::optional<JobStage>> Out;
     Door.stage(Queue, Id, Patience,
-               [&Out](DoorAnswer<std::optional<JobStage>> Answer) {
+               [&Out](QueryResult<std::optional<JobStage>> Answer) {
                  Out = Answer.Value;
                });
-    Home.runFor(2 * Patience);
+    ControlLoop.runFor(2 * Patience);
     return Out;
   }
   void storeIs(StoreFate Fate) {
     Store.Decide = [Fate] { return Fate; };
   }
 
-  FakeLoop Home;
+  FakeLoop ControlLoop;
   FakeRows Rows;
   FakeVms Vms;
   FakeRowStore Store;
@@ -85,18 +86,18 @@
   DaemonIdentity Self;
   FleetSettings Settings;
   EventLog Events;
-  SystemWallClock Wall;
+  SystemWallClock SystemClock;
   NoHttp Http;
   PeerCalls Peers;
   YesAdvisor Advisor;
   CountFormats Formats;
-  QueueBook Queues;
+  QueueRegistry Queues;
   VmDirectory Directory;
   FleetMetrics Metrics;
   FleetContext Context;
-  NoPools Pools;
+  NoOwnedPools Pools;
   OneOwner Owners;
-  JobDoor Door;
+  JobFrontend Door;
   QueueTerms Queue;
   int Replies = 0;
   SubmitReply Last;
@@ -107,11 +108,11 @@
 
 BOOST_FIXTURE_TEST_CASE(sameJobTwiceIsOneJob, Fixture) {
   submit("j");
-  Home.runFor(Patience);
+  ControlLoop.runFor(Patience);
   BOOST_REQUIRE(written("j"));
   const std::int64_t Version = Rows.find(requestRow("j"))->Version;
   submit("j");
-  Home.runFor(Patience);
+  ControlLoop.runFor(Patience);
   BOOST_CHECK_EQUAL(Replies, 2);
   BOOST_CHECK(Last.Outcome == SubmitOutcome::Accepted);
   BOOST_CHECK_EQUAL(Rows.find(requestRow("j"))->Version, Version);
@@ -120,23 +121,23 @@
 BOOST_FIXTURE_TEST_CASE(refusedJobIsNeverWritten, Fixture) {
   storeIs({StoreFate::Refused, {}});
   submit("j");
-  Home.runFor(Patience);
+  ControlLoop.runFor(Patience);
   BOOST_REQUIRE_EQUAL(Replies, 1);
   BOOST_CHECK(Last.Outcome == SubmitOutcome::NotAccepted);
   BOOST_CHECK(Last.RetryAfter > milliseconds(0));
   // A caller who is refused is told so soon.
   BOOST_CHECK(Took < Patience / 2);
   storeIs({StoreFate::Answered, {}});
-  Home.runFor(4 * Patience);
+  ControlLoop.runFor(4 * Patience);
   BOOST_CHECK(!written("j"));
 }
 
 BOOST_FIXTURE_TEST_CASE(blipOfTheStoreIsNotSeen, Fixture) {
   storeIs({StoreFate::Refused, {}});
   submit("j");
-  Home.runFor(milliseconds(200));
+  ControlLoop.runFor(milliseconds(200));
   storeIs({StoreFate::Answered, {}});
-  Home.runFor(Patience);
+  ControlLoop.runFor(Patience);
   BOOST_CHECK(Last.Outcome == SubmitOutcome::Accepted);
   BOOST_CHECK(written("j"));
 }
@@ -144,9 +145,9 @@
 BOOST_FIXTURE_TEST_CASE(lostAnswerIsAskedForAgain, Fixture) {
   storeIs({StoreFate::LostAfter, {}});
   submit("j");
-  Home.runFor(milliseconds(100));
+  ControlLoop.runFor(milliseconds(100));
   storeIs({StoreFate::Answered, {}});
-  Home.runFor(Patience);
+  ControlLoop.runFor(Patience);
   BOOST_CHECK_EQUAL(Replies, 1);
   BOOST_CHECK(Last.Outcome == SubmitOutcome::Accepted);
 }
@@ -159,7 +160,7 @@
                         : StoreFate{StoreFate::Refused, {}};
   };
   submit("j");
-  Home.runFor(2 * Patience);
+  ControlLoop.runFor(2 * Patience);
   BOOST_REQUIRE_EQUAL(Replies, 1);
   BOOST_CHECK(Last.Outcome == SubmitOutcome::Unknown);
   BOOST_CHECK(Took <= Patience);
@@ -175,7 +176,7 @@
       return StoreFate{Kind, milliseconds(Random() % 5000)};
     };
     Trial.submit("j");
-    Trial.Home.runFor(4 * Patience);
+    Trial.ControlLoop.runFor(4 * Patience);
     BOOST_REQUIRE_MESSAGE(Trial.Replies == 1, "seed " << Seed);
     BOOST_CHECK_MESSAGE(Trial.Took <= Patience, "seed " << Seed);
     const bool Written = Trial.written("j");
@@ -190,7 +191,7 @@
   BOOST_CHECK(cancel("j") == std::optional<bool>(false));
   BOOST_CHECK(Rows.find(cancelRow("j")) == nullptr);
   submit("j");
-  Home.runFor(Patience);
+  ControlLoop.runFor(Patience);
   BOOST_CHECK(cancel("j") == std::optional<bool>(true));
   BOOST_REQUIRE(Rows.find(cancelRow("j")) != nullptr);
   const std::int64_t Version = Rows.find(cancelRow("j"))->Version;
@@ -200,7 +201,7 @@
 
 BOOST_FIXTURE_TEST_CASE(cancellingWithoutTheStoreIsUnknown, Fixture) {
   submit("j");
-  Home.runFor(Patience);
+  ControlLoop.runFor(Patience);
   storeIs({StoreFate::Refused, {}});
   BOOST_CHECK(cancel("j") == std::nullopt);
 }
@@ -209,11 +210,11 @@
   BOOST_CHECK(stage("j") ==
               std::optional<std::optional<JobStage>>(std::in_place));
   submit("j");
-  Home.runFor(Patience);
+  ControlLoop.runFor(Patience);
   BOOST_CHECK(stage("j") == std::optional(std::optional(JobStage::Queued)));
   // An owner who can't be reached makes no difference.
   Owners.Known = true;
-  Owners.Row.Peer = "b:1";
+  Owners.Row.PeerAddress = "b:1";
   JobProgress Progress;
   Progress.Stage = JobStage::Completed;
   RowTransaction Change;
@@ -228,11 +229,11 @@
 BOOST_FIXTURE_TEST_CASE(lengthOfAQueueIsUnknownWithoutItsOwner, Fixture) {
   for (const bool Known : {false, true}) {
     Owners.Known = Known;
-    Owners.Row.Peer = "b:1";
+    Owners.Row.PeerAddress = "b:1";
     std::optional<int> Count(7);
     Door.pending(Queue, Patience,
-                 [&Count](DoorAnswer<int> Answer) { Count = Answer.Value; });
-    Home.runFor(Patience);
+                 [&Count](QueryResult<int> Answer) { Count = Answer.Value; });
+    ControlLoop.runFor(Patience);
     BOOST_CHECK(!Count);
   }
 }
--- a/packages/fleet/tests/PoolTrial.cpp
+++ b/packages/fleet/tests/PoolTestSupport.cpp
@@ -1,4 +1,4 @@
-#include "PoolTrial.h"
+#include "PoolTestSupport.h"
 
 #include <charconv>
 
@@ -13,7 +13,7 @@
     Good.push_back(AdviceTicket{Vm, Step.Job});
   // One call in a few is slow, so that others wait behind it.
   const milliseconds Takes(++Calls_ % 4 == 0 ? 300 : 20);
-  Home_.after(Takes, [Good, Done] { Done(Good); });
+  ControlLoop_.after(Takes, [Good, Done] { Done(Good); });
 }
 
 Result<VmEntry> CountFormats::decodeVm(std::string_view Key,
@@ -31,15 +31,16 @@
   return Out;
 }
 
-TrialDaemon::TrialDaemon(std::string Name, FakeLoop &Home, FakeRows &Rows,
-                         FakeVms &Vms, const QueueTerms &Queue)
-    : Store(Rows, Home), Calls(Vms, Home), Name_(std::move(Name)), Home_(Home),
-      Events_(Name_, 100, nullptr), Peers_(Http_), Advisor_(Home),
-      Directory_(Formats_, Events_), Context_{Settings_, Self_,   Home.Time,
-                                              Wall_,     Events_, Home,
-                                              Store,     Calls,   Advisor_,
-                                              Peers_,    Queues_, Directory_,
-                                              Metrics_} {
+TrialDaemon::TrialDaemon(std::string Name, FakeLoop &ControlLoop,
+                         FakeRows &Rows, FakeVms &Vms, const QueueTerms &Queue)
+    : Store(Rows, ControlLoop), Calls(Vms, ControlLoop), Name_(std::move(Name)),
+      ControlLoop_(ControlLoop), Events_(Name_, 100, nullptr), Peers_(Http_),
+      Advisor_(ControlLoop), Directory_(Formats_, Events_),
+      Context_{Settings_,    Self_,   ControlLoop.Time,
+               SystemClock_, Events_, ControlLoop,
+               Store,        Calls,   Advisor_,
+               Peers_,       Queues_, Directory_,
+               Metrics_} {
   QueueConfig Config;
   Config.Version = 1;
   Config.Routes.push_back(QueueRoute{"h", "/q/", milliseconds(3000), Queue});
@@ -52,8 +53,9 @@
 void TrialDaemon::begin() {
   Self_ = DaemonIdentity{Name_, fmt::format("{}-{}", Name_, ++Lives_), "d",
                          Name_ + ":1", 1.0};
-  Lease_ = std::make_shared<PoolLease>(Store, Home_, Home_.Time, Events_, Self_,
-                                       std::string(TrialService));
+  Lease_ =
+      std::make_shared<PoolLease>(Store, ControlLoop_, ControlLoop_.Time,
+                                  Events_, Self_, std::string(TrialService));
   Lease_->OnTaken = [this](const PoolTerm &Term) {
     Owner_ = std::make_shared<PoolOwner>(Context_, Term);
     Owner_->OnReplaced = [this] {
--- a/packages/fleet/tests/PoolTrial.h
+++ b/packages/fleet/tests/PoolTestSupport.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_FLEET_TESTS_POOLTRIAL_H
-#define CUMINROAD_FLEET_TESTS_POOLTRIAL_H
+#ifndef CUMINROAD_FLEET_TESTS_POOLTESTSUPPORT_H
+#define CUMINROAD_FLEET_TESTS_POOLTESTSUPPORT_H
 
 #include <memory>
 #include <string>
@@ -24,7 +24,7 @@
 };
 
 /// A daemon that owns no pool.
-class NoPools final : public OwnedPools {
+class NoOwnedPools final : public OwnedPools {
 public:
   bool owns(std::string_view) const override { return false; }
   std::optional<JobStage> stage(std::string_view,
@@ -37,12 +37,12 @@
 /// Names every VM as good, after a while.
 class YesAdvisor final : public PlacementAdvisor {
 public:
-  explicit YesAdvisor(FakeLoop &Home) : Home_(Home) {}
+  explicit YesAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
   void advise(const StepName &, std::span<const std::string> Vms, milliseconds,
               Done Done) override;
 
 private:
-  FakeLoop &Home_;
+  FakeLoop &ControlLoop_;
   int Calls_ = 0;
 };
 
@@ -66,8 +66,8 @@
 /// A daemon that may own the trial's pool, without ports and peers.
 class TrialDaemon {
 public:
-  TrialDaemon(std::string Name, FakeLoop &Home, FakeRows &Rows, FakeVms &Vms,
-              const QueueTerms &Queue);
+  TrialDaemon(std::string Name, FakeLoop &ControlLoop, FakeRows &Rows,
+              FakeVms &Vms, const QueueTerms &Queue);
   ~TrialDaemon();
 
   /// The process ends without a word, and another life of it begins.
@@ -85,17 +85,17 @@
   void begin();
 
   std::string Name_;
-  FakeLoop &Home_;
+  FakeLoop &ControlLoop_;
   int Lives_ = 0;
   DaemonIdentity Self_;
   FleetSettings Settings_;
   EventLog Events_;
-  SystemWallClock Wall_;
+  SystemWallClock SystemClock_;
   NoHttp Http_;
   PeerCalls Peers_;
   YesAdvisor Advisor_;
   CountFormats Formats_;
-  QueueBook Queues_;
+  QueueRegistry Queues_;
   VmDirectory Directory_;
   FleetMetrics Metrics_;
   FleetContext Context_;
--- a/packages/fleet/tests/RelayedStoreTest.cpp
+++ b/packages/fleet/tests/RelayedStoreTest.cpp
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "../src/StoreMessages.h"
-#include "PoolTrial.h"
+#include "PoolTestSupport.h"
 #include "cuminroad/fakes/FakeRowStore.h"
 #include "cuminroad/fleet/PeerService.h"
 #include "cuminroad/fleet/RelayedStore.h"
@@ -83,7 +83,7 @@
   FakeRowStore OfPeer;
   EventLog Events;
   FleetMetrics Metrics;
-  NoPools Pools;
+  NoOwnedPools Pools;
   NoAdvisor Advisor;
   PeerHttp Http;
   RelayedStore Store;
--- a/packages/fleet/tests/TakeoverTest.cpp
+++ b/packages/fleet/tests/TakeoverTest.cpp
@@ -8,7 +8,7 @@
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
-#include "PoolTrial.h"
+#include "PoolTestSupport.h"
 
 using namespace cuminroad;
 
@@ -57,7 +57,7 @@
 class Trial {
 public:
   Trial(unsigned Seed, TrialFaults Faults)
-      : Random_(Seed), Faults_(Faults), Vms_(Home_) {
+      : Random_(Seed), Faults_(Faults), Vms_(ControlLoop_) {
     for (int Number = 0; Number < VmCount; ++Number) {
       const std::string Id = fmt::format("vm{}", Number);
       Vms_.add(Id, 1);
@@ -70,8 +70,8 @@
                        Random_() % 12 == 0 ? RunEnd::Failed : RunEnd::Done};
     };
     for (const char *Name : {"a", "b"}) {
-      auto Daemon = std::make_unique<TrialDaemon>(Name, Home_, Rows_, Vms_,
-                                                  trialQueue(Seed % 2 == 0));
+      auto Daemon = std::make_unique<TrialDaemon>(
+          Name, ControlLoop_, Rows_, Vms_, trialQueue(Seed % 2 == 0));
       Daemon->listVms(Entries_);
       Daemons_.push_back(std::move(Daemon));
     }
@@ -80,16 +80,16 @@
   }
 
   void run() {
-    Home_.runFor(milliseconds(3000));
+    ControlLoop_.runFor(milliseconds(3000));
     for (int Step = 0; Step < 60; ++Step) {
       submit(Step);
       disturb();
-      Home_.runFor(milliseconds(100 + Random_() % 300));
+      ControlLoop_.runFor(milliseconds(100 + Random_() % 300));
     }
     Calm_ = true;
     Cut_.clear();
     // Long enough for all the work that is left.
-    Home_.runFor(milliseconds(Faults_.Splits ? 150000 : 60000));
+    ControlLoop_.runFor(milliseconds(Faults_.Splits ? 150000 : 60000));
   }
 
   void check() {
@@ -214,7 +214,7 @@
 
   std::mt19937 Random_;
   TrialFaults Faults_;
-  FakeLoop Home_;
+  FakeLoop ControlLoop_;
   FakeRows Rows_;
   FakeVms Vms_;
   std::vector<StoredRow> Entries_;
--- a/packages/fleet/tests/VmLinkTest.cpp
+++ b/packages/fleet/tests/VmLinkTest.cpp
@@ -14,7 +14,7 @@
 
 /// A link to one VM, and what it told.
 struct Fixture : VmLinkEvents {
-  Fixture() : Vms(Home), Calls(Vms, Home) { Vms.add("a", 1); }
+  Fixture() : Vms(ControlLoop), Calls(Vms, ControlLoop) { Vms.add("a", 1); }
 
   void connect(milliseconds Inherited = {}) {
     VmEntry Entry;
@@ -22,9 +22,9 @@
     Entry.Address = "a:1";
     VmLink::Options Options;
     Options.FencingToken = 1;
-    Options.InheritedUntil = Home.Time.now() + Inherited;
-    Link =
-        std::make_shared<VmLink>(Entry, Options, Calls, Home, Home.Time, *this);
+    Options.InheritedUntil = ControlLoop.Time.now() + Inherited;
+    Link = std::make_shared<VmLink>(Entry, Options, Calls, ControlLoop,
+                                    ControlLoop.Time, *this);
     Link->start();
   }
   ~Fixture() override {
@@ -36,8 +36,9 @@
     ++Reports;
     LastAnswer = Answer;
     for (const TaskEnd &End : Answer.Ends)
-      Home.after(RecordTime, [this, Born = Answer.Born, Number = End.Number] {
-        Link->acknowledge(Born, Number);
+      ControlLoop.after(RecordTime, [this, Incarnation = Answer.Incarnation,
+                                     Number = End.Number] {
+        Link->acknowledge(Incarnation, Number);
       });
   }
   void unanswered(VmLink &) override {}
@@ -45,7 +46,7 @@
     SilentTries.push_back(Tries);
   }
   void answering(VmLink &) override { ++Answering; }
-  void lapsed(VmLink &) override { LapsedAt = Home.Time.now(); }
+  void lapsed(VmLink &) override { LapsedAt = ControlLoop.Time.now(); }
   void fenced(VmLink &) override { Fenced = true; }
   void startAnswered(VmLink &, const TaskRun &, StartOutcome Outcome,
                      std::string_view) override {
@@ -55,7 +56,7 @@
   bool wanted(const VmLink &, const TaskRun &) const override { return true; }
   TimePoint leaseLimit() const override { return TimePoint::max(); }
 
-  FakeLoop Home;
+  FakeLoop ControlLoop;
   /// How long it takes to record an end.
   milliseconds RecordTime{0};
   FakeVms Vms;
@@ -82,26 +83,26 @@
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
-  const TimePoint Begin = Home.Time.now();
-  connect(InheritedWait);
-  Home.runFor(InheritedWait * 2);
+  const TimePoint Begin = ControlLoop.Time.now();
+  connect(InheritedLeaseWait);
+  ControlLoop.runFor(InheritedLeaseWait * 2);
   BOOST_REQUIRE(LapsedAt);
-  BOOST_CHECK(*LapsedAt - Begin >= InheritedWait);
+  BOOST_CHECK(*LapsedAt - Begin >= InheritedLeaseWait);
 }
 
 BOOST_FIXTURE_TEST_CASE(cutVmLapsesAfterItsLeaseAndNotBefore, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Link->startRun(startOf(), "spec");
   Vms.Plan = [](const TaskRun &) {
     return std::pair{milliseconds(60000), RunEnd::Done};
   };
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
-  Home.runFor(TaskLease * 3);
+  ControlLoop.runFor(TaskLease * 3);
   BOOST_CHECK(!SilentTries.empty());
   BOOST_REQUIRE(LapsedAt);
   // The VM ended the run by itself, before the link counted it as ended.
@@ -113,13 +114,13 @@
 
 BOOST_FIXTURE_TEST_CASE(lostAnswerIsSettledByARepeat, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   int Orders = 0;
   Calls.Decide = [&](const std::string &) {
     return ++Orders == 1 ? OrderFate{OrderFate::AnswerLost, {}} : OrderFate{};
   };
   Link->startRun(startOf(), "spec");
-  Home.runFor(milliseconds(5000));
+  ControlLoop.runFor(milliseconds(5000));
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   // The run is over by then: not a refusal, since it was carried out.
   BOOST_CHECK(Outcomes[0] == StartOutcome::OldRun);
@@ -127,9 +128,9 @@
 
 BOOST_FIXTURE_TEST_CASE(startWithAnExpiredTicketIsNotSent, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   const int Before = Calls.Starts;
-  Link->startRun(startOf("t", Home.Time.now()), "spec");
+  Link->startRun(startOf("t", ControlLoop.Time.now()), "spec");
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Outcomes[0] == StartOutcome::TicketExpired);
   BOOST_CHECK_EQUAL(Calls.Starts, Before);
@@ -137,25 +138,25 @@
 
 BOOST_FIXTURE_TEST_CASE(newerOwnerEndsTheLink, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Vms.hold(VmTarget{"a", "a:1", 2, false}, HoldOrder{});
-  Home.runFor(milliseconds(3000));
+  ControlLoop.runFor(milliseconds(3000));
   BOOST_CHECK(Fenced);
 }
 
 BOOST_FIXTURE_TEST_CASE(restartedVmIsReportedWithItsNewLife, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Vms.restart("a", 7);
-  Home.runFor(milliseconds(3000));
-  BOOST_CHECK_EQUAL(LastAnswer.Born, 7);
+  ControlLoop.runFor(milliseconds(3000));
+  BOOST_CHECK_EQUAL(LastAnswer.Incarnation, 7);
 }
 
 BOOST_FIXTURE_TEST_CASE(startThatIsNeverAnsweredForCertainExpires, Fixture) {
   // Found as tasks that waited for 30 s: the first try timed out, and the VM
   // refused each repeat as unhealthy.
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   bool First = true;
   Calls.Decide = [&](const std::string &) {
     return std::exchange(First, false) ? OrderFate{OrderFate::Lost, {}}
@@ -163,13 +164,13 @@
   };
   Link->startRun(startOf(), "spec");
   Calls.Unhealthy = true;
-  Home.runFor(TaskLease * 2);
+  ControlLoop.runFor(TaskLease * 2);
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Outcomes[0] == StartOutcome::OldRun);
   // Nothing arrives after that.
   const int Sent = Calls.Starts;
   Calls.Unhealthy = false;
-  Home.runFor(TaskLease * 2);
+  ControlLoop.runFor(TaskLease * 2);
   BOOST_CHECK_EQUAL(Calls.Starts, Sent);
   BOOST_CHECK_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Vms.History.empty());
@@ -177,47 +178,47 @@
 
 BOOST_FIXTURE_TEST_CASE(stopIsAskedForAgainAfterAnUnhealthyTime, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Calls.Unhealthy = true;
   Link->stopRun(Run);
   // The same stop under way is not doubled.
   Link->stopRun(Run);
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Stopped, 0);
   Calls.Unhealthy = false;
   Link->stopRun(Run);
-  Home.runFor(milliseconds(1000));
+  ControlLoop.runFor(milliseconds(1000));
   BOOST_CHECK_EQUAL(Stopped, 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(unhealthyVmIsAskedOnTheSameConnection, Fixture) {
   // Found as VMs that took no more connections: each repeat left one open.
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Calls.HoldsUnhealthy = true;
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Calls.FreshHolds, 0);
   // A connection that has gone silent is not used again.
   Calls.HoldsUnhealthy = false;
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_GE(Calls.FreshHolds, 3);
 }
 
 BOOST_FIXTURE_TEST_CASE(silenceIsToldAtDoublingsAndItsEndOnce, Fixture) {
   // One line at its begin does not show that a VM is silent to the end.
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   BOOST_CHECK_EQUAL(Answering, 1);
   Calls.HoldsUnhealthy = true;
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   const std::vector<int> Expected{2, 4, 8, 16, 32};
   BOOST_CHECK_EQUAL_COLLECTIONS(SilentTries.begin(), SilentTries.end(),
                                 Expected.begin(), Expected.end());
   Calls.HoldsUnhealthy = false;
-  Home.runFor(milliseconds(3000));
+  ControlLoop.runFor(milliseconds(3000));
   BOOST_CHECK_EQUAL(Answering, 2);
 }
 
@@ -226,16 +227,16 @@
   // and each of them went on asking the VM.
   RecordTime = milliseconds(40);
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Link->startRun(startOf(), "spec");
   const auto Ended = [this] { return !LastAnswer.Ends.empty(); };
   while (!Ended())
-    Home.runFor(milliseconds(10));
-  Home.runFor(RecordTime);
+    ControlLoop.runFor(milliseconds(10));
+  ControlLoop.runFor(RecordTime);
   Calls.HoldsUnhealthy = true;
-  Home.runFor(milliseconds(3000));
+  ControlLoop.runFor(milliseconds(3000));
   const int Before = Calls.Holds;
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   // Every 250 ms.
   BOOST_CHECK_LE(Calls.Holds - Before, 40);
   BOOST_CHECK_GE(Calls.Holds - Before, 30);
@@ -245,29 +246,29 @@
   // Found by the soak: an order meant for the earlier life may be carried out
   // in the new one, whose clock has just begun, seconds later.
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Late, milliseconds(3000)};
   };
   Link->startRun(startOf(), "spec");
   Calls.Decide = nullptr;
   Vms.restart("a", 7);
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Stopped, 1);
   BOOST_CHECK(Vms.History.empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(restartedVmMayHoldTheLongestLease, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Vms.restart("a", 7);
-  while (LastAnswer.Born != 7)
-    Home.runFor(milliseconds(1));
-  const TimePoint Restarted = Home.Time.now();
+  while (LastAnswer.Incarnation != 7)
+    ControlLoop.runFor(milliseconds(1));
+  const TimePoint Restarted = ControlLoop.Time.now();
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
-  Home.runFor(milliseconds(20000));
+  ControlLoop.runFor(milliseconds(20000));
   BOOST_REQUIRE(LapsedAt);
   BOOST_CHECK(*LapsedAt - Restarted >= VmLink::Options{}.MaxLease);
 }
--- a/programs/cuminroadd/FleetMain.cpp
+++ b/programs/cuminroadd/FleetMain.cpp
@@ -49,8 +49,8 @@
   PlatformAdvisor Advisor(Config.AdvisorAddress, *Client);
   const PlatformRecords Formats;
   const auto Process =
-      makeFleetDaemon(FleetParts{Config.Fleet, Time, Wall, Events, *Home,
-                                 *Client, Store, Vms, Advisor, Formats},
+      makeFleetDaemon(FleetDependencies{Config.Fleet, Time, Wall, Events, *Home,
+                                        *Client, Store, Vms, Advisor, Formats},
                       makeFrontGateway);
   Process->start();
   std::thread Waiter([&] {
--- a/tests/fakes/src/FakeVms.cpp
+++ b/tests/fakes/src/FakeVms.cpp
@@ -82,7 +82,7 @@
   if (State == nullptr)
     return Out;
   Out.VmClock = clock();
-  Out.Born = State->Born;
+  Out.Incarnation = State->Born;
   State->LeaseUntil = std::max(State->LeaseUntil,
                                std::min(Order.LeaseUntil, clock() + MaxLease));
   Home_.after(State->LeaseUntil - clock(), [this, Id = Vm.Id] { lapse(Id); });
