--- a/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
+++ b/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
@@ -26,71 +26,72 @@
   struct Answer {
     StepName Step;
     std::vector<std::string> Asked;
-    std::vector<AdviceTicket> Good;
+    std::vector<AdviceTicket> Allowed;
     /// When the answer arrived.
-    TimePoint At{};
+    TimePoint ReceivedAt{};
   };
   using Done = std::function<void(const StepName &, Result<Answer>)>;
   /// Whether an answer is still of use.
-  using Needed = std::function<bool(const StepName &)>;
+  using StillNeeded = std::function<bool(const StepName &)>;
 
-  AdviceDispatcher(PlacementAdvisor &Own, PeerCalls &Peers, Loop &ControlLoop,
-                   const Clock &MonotonicClock, std::string SelfName,
-                   Needed Needed, Done Done);
+  AdviceDispatcher(PlacementAdvisor &LocalAdvisor, PeerCalls &Peers,
+                   Loop &ControlLoop, const Clock &MonotonicClock,
+                   std::string SelfName, StillNeeded StillNeeded, Done Done);
 
   void close() { Closed_ = true; }
   /// The other daemons that may be asked.
   void setPeers(const DaemonRows &Others);
   /// Tells which queues need advice, and how long it takes.
   void setQueues(std::span<const QueueRoute> Routes);
-  void ask(const AskAdvice &Question);
+  void requestAdvice(const AskAdvice &Ask);
   std::size_t waiting() const { return Queue_.size(); }
 
 private:
-  struct Caller {
+  struct DaemonState {
     DaemonRow Daemon;
-    int Open = 0;
-    TimePoint NotBefore{};
-    milliseconds Pause{0};
-    bool Listed = true;
+    int OpenCalls = 0;
+    TimePoint RetryAt{};
+    milliseconds Backoff{0};
+    bool Registered = true;
   };
   /// A question; more than one daemon may be asking it.
-  struct Question {
+  struct PendingRequest {
     AskAdvice Ask;
-    int Tries = 0;
-    int Open = 0;
+    int Attempts = 0;
+    int OpenCalls = 0;
     bool Answered = false;
   };
-  using QuestionPtr = std::shared_ptr<Question>;
+  using PendingRequestPtr = std::shared_ptr<PendingRequest>;
 
-  void pump();
-  void pumpOnce();
-  void enqueue(const QuestionPtr &Next);
+  void dispatch();
+  void dispatchOnce();
+  void enqueue(const PendingRequestPtr &Request);
   /// Daemons that answered last and have nothing to do.
-  std::vector<std::string> freeCallers(bool Quick) const;
+  std::vector<std::string> idleDaemons(bool ShortDecision) const;
   /// A daemon that failed and may be tried again, or "".
-  std::string suspectToProbe() const;
-  void send(const std::string &Name, const QuestionPtr &Next);
-  void hedge(const QuestionPtr &Sent);
-  void answered(const std::string &Name, const QuestionPtr &Sent,
-                Result<std::vector<AdviceTicket>> Good);
+  std::string failedDaemonToProbe() const;
+  void send(const std::string &Name, const PendingRequestPtr &Request);
+  void hedge(const PendingRequestPtr &Request);
+  void handleAnswer(const std::string &Name, const PendingRequestPtr &Request,
+                    Result<std::vector<AdviceTicket>> Allowed);
 
-  void settle(const QuestionPtr &Sent, Result<std::vector<AdviceTicket>> Good);
+  void completeOrRetry(const PendingRequestPtr &Request,
+                       Result<std::vector<AdviceTicket>> Allowed);
 
-  PlacementAdvisor &Own_;
+  PlacementAdvisor &LocalAdvisor_;
   PeerCalls &Peers_;
   Loop &ControlLoop_;
   const Clock &MonotonicClock_;
   std::string SelfName_;
-  Needed Needed_;
+  StillNeeded StillNeeded_;
   Done Done_;
-  std::map<std::string, Caller> Callers_;
-  std::vector<QuestionPtr> Queue_;
-  std::size_t NextCaller_ = 0;
+  std::map<std::string, DaemonState> Daemons_;
+  std::vector<PendingRequestPtr> Queue_;
+  std::size_t NextDaemon_ = 0;
   /// pump() is under way, and is to go through the queue once more.
-  bool Pumping_ = false;
-  bool PumpAgain_ = false;
-  bool QuickWork_ = false;
+  bool Dispatching_ = false;
+  bool DispatchAgain_ = false;
+  bool HasShortDecisions_ = false;
   bool Closed_ = false;
 };
 
--- a/packages/fleet/include/cuminroad/fleet/FleetDaemon.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetDaemon.h
@@ -34,8 +34,8 @@
 };
 
 /// Makes the handler of callers' requests.
-using RequestHandlerFactory =
-    std::function<HttpHandler(const QueueRegistry &Queues, JobFrontend &Door)>;
+using RequestHandlerFactory = std::function<HttpHandler(
+    const QueueRegistry &Queues, JobFrontend &Frontend)>;
 
 /// A daemon of the fleet: a front door for callers, and the owner of those
 /// pools that it holds the lease of.
@@ -49,8 +49,9 @@
   virtual void stop() = 0;
 };
 
-std::unique_ptr<FleetDaemon> makeFleetDaemon(FleetDependencies Parts,
-                                             RequestHandlerFactory MakeFront);
+std::unique_ptr<FleetDaemon>
+makeFleetDaemon(FleetDependencies Dependencies,
+                RequestHandlerFactory MakeRequestHandler);
 
 } // namespace cuminroad
 
--- a/packages/fleet/include/cuminroad/fleet/JobFrontend.h
+++ b/packages/fleet/include/cuminroad/fleet/JobFrontend.h
@@ -70,35 +70,38 @@
       : Context_(Context), Owned_(Owned), Owners_(Owners) {}
 
   /// \param Patience how long the caller waits for an answer.
-  void submit(const QueueTerms &Queue, JobPlan Plan, milliseconds Patience,
+  void submit(const QueueTerms &Queue, JobPlan Plan, milliseconds CallerTimeout,
               SubmitDone Done);
-  void cancel(std::string_view Job, milliseconds Patience,
+  void cancel(std::string_view Job, milliseconds CallerTimeout,
               std::function<void(QueryResult<bool>)> Done);
   void stage(const QueueTerms &Queue, std::string_view Job,
-             milliseconds Patience, StageDone Done);
-  void pending(const QueueTerms &Queue, milliseconds Patience, CountDone Done);
+             milliseconds CallerTimeout, StageDone Done);
+  void pending(const QueueTerms &Queue, milliseconds CallerTimeout,
+               CountDone Done);
 
 private:
   struct Submission;
   struct Cancellation;
 
-  void write(std::shared_ptr<Submission> Open);
-  void written(std::shared_ptr<Submission> Open, Result<RowCommit> Outcome);
-  void finish(const Submission &Open, const SubmitReply &Reply);
+  void writeRequest(std::shared_ptr<Submission> Pending);
+  void handleWriteResult(std::shared_ptr<Submission> Pending,
+                         Result<RowCommit> Outcome);
+  void reply(const Submission &Pending, const SubmitReply &Reply);
   /// Writes again when the store has answered any call since \p FailedAt.
-  void writeWhenReachable(std::shared_ptr<Submission> Open, TimePoint FailedAt);
-  void findForCancel(std::shared_ptr<Cancellation> Open);
-  void writeCancel(std::shared_ptr<Cancellation> Open,
+  void writeWhenReachable(std::shared_ptr<Submission> Pending,
+                          TimePoint FailedAt);
+  void readForCancel(std::shared_ptr<Cancellation> Pending);
+  void writeCancel(std::shared_ptr<Cancellation> Pending,
                    std::int64_t RequestVersion);
-  void retryCancel(std::shared_ptr<Cancellation> Open);
+  void retryCancel(std::shared_ptr<Cancellation> Pending);
   /// Nothing where the store gave no answer until then.
   using ReadDone = std::function<void(std::optional<RowPage>)>;
 
-  void readUntil(RowRange Range, TimePoint Until, ReadDone Done);
-  void readStage(std::string Job, TimePoint Until, StageDone Done);
+  void readWithRetry(RowRange Range, TimePoint Deadline, ReadDone Done);
+  void readStage(std::string Job, TimePoint Deadline, StageDone Done);
   void readProgress(std::string_view Service, const std::string &Job,
-                    TimePoint Until, StageDone Done);
-  milliseconds left(TimePoint Until) const;
+                    TimePoint Deadline, StageDone Done);
+  milliseconds remaining(TimePoint Deadline) const;
 
   FleetContext Context_;
   const OwnedPools &Owned_;
--- a/packages/fleet/include/cuminroad/fleet/PoolLease.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolLease.h
@@ -40,20 +40,20 @@
   /// Never takes the pool over again.
   void stop() { Stopped_ = true; }
   /// The owner stepped down; watch the row again.
-  void lost();
+  void resumeStandby();
   /// The owner as last read.
   const OwnerRow &owner() const { return Owner_; }
 
-  std::function<void(PoolTerm)> OnTaken;
+  std::function<void(PoolTerm)> OnAcquired;
   /// How many pools this daemon owns already.
-  std::function<int()> PoolsOwned;
+  std::function<int()> OwnedPoolCount;
 
 private:
   void poll();
   void pollLater(milliseconds Delay);
-  void examine(const RowPage &Page);
-  void take(std::int64_t Version, bool Inherited);
-  void taken(std::int64_t Version, TimePoint SentAt);
+  void evaluateRow(const RowPage &Page);
+  void tryAcquire(std::int64_t Version, bool Inherited);
+  void handleAcquired(std::int64_t Version, TimePoint SentAt);
   milliseconds standbyDelay() const;
   milliseconds pollDelay() const;
 
@@ -63,14 +63,14 @@
   EventLog &Events_;
   const DaemonIdentity &Self_;
   std::string Service_;
-  milliseconds Rank_;
+  milliseconds StandbyOffset_;
   OwnerRow Owner_;
-  std::int64_t SeenVersion_ = -1;
-  TimePoint SeenAt_{};
-  TimePoint TakeSentAt_{};
-  bool TakeInherited_ = false;
+  std::int64_t LastVersion_ = -1;
+  TimePoint UnchangedSince_{};
+  TimePoint AcquireSentAt_{};
+  bool AcquireInherited_ = false;
   bool Unchanged_ = false;
-  bool Mine_ = false;
+  bool IsOwner_ = false;
   bool Polling_ = false;
   bool Stopped_ = false;
 };
--- a/packages/fleet/include/cuminroad/fleet/PoolOwner.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolOwner.h
@@ -28,7 +28,7 @@
 /// Recorded before it takes effect: the VM and number of each run, before the
 /// start is sent; an end and what follows from it, before it is acknowledged to
 /// the VM; a final stage, before callers are told.
-class PoolOwner final : public VmLinkEvents,
+class PoolOwner final : public VmLinkListener,
                         public RowSink,
                         public std::enable_shared_from_this<PoolOwner> {
 public:
@@ -50,46 +50,47 @@
   /// Called once when another daemon owns the pool.
   std::function<void()> OnReplaced;
 
-  void reported(VmLink &Link, const HoldAnswer &Answer,
-                TimePoint AskedAt) override;
-  void unanswered(VmLink &Link) override;
-  void silent(VmLink &Link, std::string_view Why, int Tries) override;
-  void answering(VmLink &Link) override;
-  void lapsed(VmLink &Link) override;
-  void fenced(VmLink &Link) override;
-  void startAnswered(VmLink &Link, const TaskRun &Run, StartOutcome Outcome,
-                     std::string_view Why) override;
-  void stopAnswered(VmLink &Link, const TaskRun &Run) override;
-  bool wanted(const VmLink &Link, const TaskRun &Run) const override;
+  void onReport(VmLink &Link, const HoldAnswer &Answer,
+                TimePoint SentAt) override;
+  void onNoAnswer(VmLink &Link) override;
+  void onUnreachable(VmLink &Link, std::string_view Reason,
+                     int Attempts) override;
+  void onReachable(VmLink &Link) override;
+  void onLeaseExpired(VmLink &Link) override;
+  void onFenced(VmLink &Link) override;
+  void onStartAnswered(VmLink &Link, const TaskRun &Run, StartOutcome Outcome,
+                       std::string_view Reason) override;
+  void onStopAnswered(VmLink &Link, const TaskRun &Run) override;
+  bool isWanted(const VmLink &Link, const TaskRun &Run) const override;
   TimePoint leaseLimit() const override;
 
   void tableRead(std::vector<StoredRow> Rows) override;
   void rowsChanged(std::vector<StoredRow> Rows) override;
 
 private:
-  void adviceAnswered(const StepName &Step,
-                      const Result<AdviceDispatcher::Answer> &Answer);
+  void handleAdvice(const StepName &Step,
+                    const Result<AdviceDispatcher::Answer> &Answer);
   void readProgress(std::string From);
-  void progressRead(Result<RowPage> Page);
-  void loadWhenRead();
-  void addRow(const StoredRow &Row);
+  void handleProgressPage(Result<RowPage> Page);
+  void loadJobsWhenRead();
+  void applyRow(const StoredRow &Row);
   void applyRequest(JobRequest Request);
   void applyCancel(const std::string &Job);
   void syncVms();
-  void checkUnlistedVms();
-  void wake();
-  void pass();
-  void execute(const StartRun &Do);
-  void execute(const StopRun &Do);
-  void execute(const PaceRun &Do);
-  void execute(const AskAdvice &Do);
+  void removeUnlistedVms();
+  void schedulePass();
+  void runPass();
+  void execute(const StartRun &Command);
+  void execute(const StopRun &Command);
+  void execute(const PaceRun &Command);
+  void execute(const AskAdvice &Command);
   void recordChanges();
-  void tellNotes();
-  void tellLoad();
-  void renewRegularly();
-  void forgetOldJobs();
-  void replaced();
-  VmLink *link(std::string_view Vm) const;
+  void logNotes();
+  void reportLoad();
+  void runPeriodicWork();
+  void removeExpiredJobs();
+  void handleReplacement();
+  VmLink *findLink(std::string_view Vm) const;
   std::string headValue(std::int64_t Serial) const;
   std::int64_t serialOf(const std::string &HeadValue) const;
 
@@ -97,37 +98,37 @@
   PoolTerm Term_;
   std::shared_ptr<ChainedWriter> Writer_;
   std::shared_ptr<TableFollower> Requests_;
-  std::shared_ptr<AdviceDispatcher> Advice_;
+  std::shared_ptr<AdviceDispatcher> AdviceDispatcher_;
   std::unique_ptr<PoolScheduler> Scheduler_;
-  TimePoint InheritedUntil_{};
+  TimePoint InheritedLeasesUntil_{};
   int DirectoryListener_ = 0;
   std::map<std::string, std::shared_ptr<VmLink>, std::less<>> Links_;
   /// The last end of a VM's life that was taken in.
-  struct SeenEnds {
+  struct ReceivedEnds {
     std::int64_t Incarnation = 0;
-    std::int64_t Last = 0;
+    std::int64_t LastEnd = 0;
   };
-  std::map<std::string, SeenEnds> SeenEnds_;
+  std::map<std::string, ReceivedEnds> ReceivedEnds_;
   /// Jobs read before the progress was.
-  std::map<std::string, JobRequest> ReadRequests_;
-  std::set<std::string> ReadCancels_;
-  std::map<std::string, JobProgress> ReadProgress_;
+  std::map<std::string, JobRequest> LoadedRequests_;
+  std::set<std::string> LoadedCancels_;
+  std::map<std::string, JobProgress> LoadedProgress_;
   bool RequestsRead_ = false;
   bool ProgressRead_ = false;
   /// Final stages that are in the store, and when they got there.
   struct FinalStage {
     JobStage Stage;
-    TimePoint At;
+    TimePoint RecordedAt;
   };
-  std::map<std::string, FinalStage, std::less<>> Final_;
+  std::map<std::string, FinalStage, std::less<>> FinalStages_;
   /// Specs of unfinished jobs go with their starts.
-  std::vector<StartRun> Starts_;
-  bool PassPlanned_ = false;
+  std::vector<StartRun> UnrecordedStarts_;
+  bool PassScheduled_ = false;
   bool Closed_ = false;
-  TimePoint LastPass_{};
-  milliseconds PassTook_{0};
-  TimePoint LastCleaning_{};
-  TimePoint LastLoad_{};
+  TimePoint LastPassAt_{};
+  milliseconds LastPassDuration_{0};
+  TimePoint LastCleanupAt_{};
+  TimePoint LastLoadReportAt_{};
 };
 
 } // namespace cuminroad
--- a/packages/fleet/include/cuminroad/fleet/VmDirectory.h
+++ b/packages/fleet/include/cuminroad/fleet/VmDirectory.h
@@ -26,7 +26,7 @@
   const std::map<std::string, VmEntry> &entries() const { return Entries_; }
   bool known() const { return Known_; }
   /// Drops what is known, since it is not kept up any more.
-  void forget() {
+  void clear() {
     Entries_.clear();
     Known_ = false;
   }
@@ -35,8 +35,8 @@
   void removeListener(int Number) { Listeners_.erase(Number); }
 
 private:
-  void take(const StoredRow &Row);
-  void tell();
+  void applyRow(const StoredRow &Row);
+  void notifyListeners();
 
   const PlatformFormats &Formats_;
   EventLog &Events_;
--- a/packages/fleet/include/cuminroad/fleet/VmLink.h
+++ b/packages/fleet/include/cuminroad/fleet/VmLink.h
@@ -20,28 +20,30 @@
 class VmLink;
 
 /// What happens on a link, told to the pool's owner.
-class VmLinkEvents {
+class VmLinkListener {
 public:
-  virtual ~VmLinkEvents() = default;
+  virtual ~VmLinkListener() = default;
   /// The VM answered a hold that was sent at \p AskedAt.
-  virtual void reported(VmLink &Link, const HoldAnswer &Answer,
-                        TimePoint AskedAt) = 0;
+  virtual void onReport(VmLink &Link, const HoldAnswer &Answer,
+                        TimePoint SentAt) = 0;
   /// A hold was not answered; it is repeated.
-  virtual void unanswered(VmLink &Link) = 0;
+  virtual void onNoAnswer(VmLink &Link) = 0;
   /// The VM does not answer, or refuses; told again each time that the number
   /// of failed tries has doubled.
-  virtual void silent(VmLink &Link, std::string_view Why, int Tries) = 0;
+  virtual void onUnreachable(VmLink &Link, std::string_view Reason,
+                             int Attempts) = 0;
   /// The VM answered for the first time, or again.
-  virtual void answering(VmLink &Link) = 0;
+  virtual void onReachable(VmLink &Link) = 0;
   /// The leases on all that ran on the VM have ended.
-  virtual void lapsed(VmLink &Link) = 0;
+  virtual void onLeaseExpired(VmLink &Link) = 0;
   /// The VM obeys a newer owner.
-  virtual void fenced(VmLink &Link) = 0;
-  virtual void startAnswered(VmLink &Link, const TaskRun &Run,
-                             StartOutcome Outcome, std::string_view Why) = 0;
-  virtual void stopAnswered(VmLink &Link, const TaskRun &Run) = 0;
+  virtual void onFenced(VmLink &Link) = 0;
+  virtual void onStartAnswered(VmLink &Link, const TaskRun &Run,
+                               StartOutcome Outcome,
+                               std::string_view Reason) = 0;
+  virtual void onStopAnswered(VmLink &Link, const TaskRun &Run) = 0;
   /// Whether the run should still be started.
-  virtual bool wanted(const VmLink &Link, const TaskRun &Run) const = 0;
+  virtual bool isWanted(const VmLink &Link, const TaskRun &Run) const = 0;
   /// Until when, by this process's clock, leases may be extended.
   virtual TimePoint leaseLimit() const = 0;
 };
@@ -58,11 +60,11 @@
     /// Longest lease that the VM grants.
     milliseconds MaxLease{6000};
     /// Before this, an earlier owner's leases may hold.
-    TimePoint InheritedUntil{};
+    TimePoint InheritedLeasesUntil{};
   };
 
   VmLink(VmEntry Entry, Options Options, VmCalls &Calls, Loop &ControlLoop,
-         const Clock &MonotonicClock, VmLinkEvents &Events);
+         const Clock &MonotonicClock, VmLinkListener &Listener);
 
   void start();
   /// Ends the link; nothing is called back after this.
@@ -70,7 +72,7 @@
   void update(const VmEntry &Entry);
   const std::string &vm() const { return Entry_.Vm.Id; }
   bool held() const { return Held_; }
-  bool lapsedTold() const { return LapsedTold_; }
+  bool leaseExpiryReported() const { return LeaseExpiryReported_; }
 
   void startRun(const StartRun &Command, const std::string &Spec);
   /// \returns whether a stop is sent; not where one is under way.
@@ -81,31 +83,31 @@
 
 private:
   void hold();
-  void holdAnswered(TimePoint SentAt, Result<HoldAnswer> Answer);
-  void holdSucceeded(TimePoint SentAt, const HoldAnswer &Answer);
-  void holdFailed(std::string_view Why);
+  void handleHoldAnswer(TimePoint SentAt, Result<HoldAnswer> Answer);
+  void handleHoldSuccess(TimePoint SentAt, const HoldAnswer &Answer);
+  void handleHoldFailure(std::string_view Reason);
   /// Settles what was sent to the VM's earlier life.
-  void noteRestart();
-  void holdLater(milliseconds Delay);
-  void checkLapse();
-  void tellLapsed();
-  void noteClock(milliseconds VmClock);
+  void handleRestart();
+  void scheduleHold(milliseconds Delay);
+  void checkLeaseExpiry();
+  void reportLeaseExpired();
+  void recordVmClock(milliseconds VmClock);
   std::optional<milliseconds> leaseUntil();
   /// \returns the time here at which the VM's clock has passed \p VmTime.
-  TimePoint certainlyPast(milliseconds VmTime) const;
-  void sendStart(StartOrder Order, int Tries);
+  TimePoint whenVmClockHasPassed(milliseconds VmTime) const;
+  void sendStart(StartOrder Order, int Attempts);
   /// Settles the start once the VM can't accept it any more.
-  void expireStart(const StartOrder &Order);
-  void settleStart(const TaskRun &Run, StartOutcome Outcome,
-                   std::string_view Why);
-  void startAnswered(const StartOrder &Order, int Tries,
-                     const Result<OrderAnswer> &Answer);
-  void repeatStart(const StartOrder &Order, int Tries);
-  void sendStop(const TaskRun &Run, int Tries);
+  void scheduleStartExpiry(const StartOrder &Order);
+  void completeStart(const TaskRun &Run, StartOutcome Outcome,
+                     std::string_view Reason);
+  void handleStartAnswer(const StartOrder &Order, int Attempts,
+                         const Result<OrderAnswer> &Answer);
+  void retryStart(const StartOrder &Order, int Attempts);
+  void sendStop(const TaskRun &Run, int Attempts);
   VmTarget target() const;
   /// Notes whether an order was answered at all.
-  template <typename T> void noteAnswer(const Result<T> &Answer) {
-    Unanswered_ = !Answer;
+  template <typename T> void recordAnswered(const Result<T> &Answer) {
+    LastOrderUnanswered_ = !Answer;
   }
 
   VmEntry Entry_;
@@ -113,31 +115,31 @@
   VmCalls &Calls_;
   Loop &ControlLoop_;
   const Clock &MonotonicClock_;
-  VmLinkEvents &Events_;
+  VmLinkListener &Listener_;
   bool Closed_ = false;
   bool Held_ = false;
-  bool LapsedTold_ = false;
-  bool Holding_ = false;
-  bool HoldPlanned_ = false;
+  bool LeaseExpiryReported_ = false;
+  bool HoldInFlight_ = false;
+  bool HoldScheduled_ = false;
   /// Counts planned holds, so that only the last one comes about.
-  std::int64_t HoldPlan_ = 0;
+  std::int64_t HoldSchedule_ = 0;
   /// The last order got no answer: its connection may have gone silent.
-  bool Unanswered_ = false;
+  bool LastOrderUnanswered_ = false;
   int Failures_ = 0;
   /// Failures after which the VM counts as silent, or is told of again.
-  int NextSilent_ = 0;
+  int NextUnreachableReport_ = 0;
   std::int64_t Incarnation_ = 0;
-  std::int64_t Acknowledged_ = 0;
+  std::int64_t AcknowledgedEnd_ = 0;
   std::int64_t LastEnd_ = 0;
-  TimePoint LastHold_{};
+  TimePoint LastHoldSentAt_{};
   /// The VM's clock, and when it was read here at the latest.
   std::optional<milliseconds> VmClock_;
-  TimePoint VmClockAt_{};
+  TimePoint VmClockReadAt_{};
   /// Starts that are neither answered for certain nor expired yet.
-  std::set<TaskRun> OpenStarts_;
-  std::set<TaskRun> OpenStops_;
+  std::set<TaskRun> PendingStarts_;
+  std::set<TaskRun> PendingStops_;
   /// The latest end of a lease, by the VM's clock, that any order carried.
-  milliseconds LatestLease_{0};
+  milliseconds LatestLeaseEnd_{0};
 };
 
 } // namespace cuminroad
--- a/packages/fleet/src/FleetDaemon.cpp
+++ b/packages/fleet/src/FleetDaemon.cpp
@@ -19,22 +19,22 @@
 
 /// A daemon that has not reached the store for this long can't accept jobs; the
 /// balancer sends callers to others.
-constexpr milliseconds StoreAwayUnready{2500};
+constexpr milliseconds StoreOutageUntilUnready{2500};
 constexpr milliseconds CheckInterval{500};
 /// VMs rewrite their entries often; changes are gathered for this long.
-constexpr milliseconds VmGather{300};
+constexpr milliseconds VmBatchDelay{300};
 /// A stopping daemon keeps its front door open until the balancer has noticed
 /// that it is not ready: two checks a second apart.
-constexpr milliseconds LeaveRotation{2600};
+constexpr milliseconds BalancerNoticeTime{2600};
 /// How often a stopping daemon looks whether all requests are answered.
-constexpr milliseconds DrainPoll{50};
+constexpr milliseconds DrainPollInterval{50};
 /// Kept back from the time that a stopping daemon has.
 constexpr milliseconds StopMargin{700};
-constexpr const char *MetricsType = "text/plain; version=0.0.4";
+constexpr const char *MetricsContentType = "text/plain; version=0.0.4";
 constexpr milliseconds WriteTimeout{1500};
-constexpr milliseconds WriteRetry{300};
+constexpr milliseconds WriteRetryDelay{300};
 
-HttpResponse plain(int Status) {
+HttpResponse plainResponse(int Status) {
   return HttpResponse{Status, {}, "", "text/plain"};
 }
 
@@ -68,30 +68,36 @@
                               public OwnedPools,
                               public OwnerLookup {
 public:
-  FleetDaemonImpl(FleetDependencies Parts, RequestHandlerFactory MakeFront)
-      : Parts_(std::move(Parts)), MakeFront_(std::move(MakeFront)),
-        Self_{Parts_.Settings.Name, randomId(), Parts_.Settings.Domain,
-              Parts_.Settings.PeerAddress.text(), Parts_.Settings.CpuShare},
-        Peers_(Parts_.Client),
-        Store_(Parts_.Store, Parts_.Client, Parts_.ControlLoop,
-               Parts_.MonotonicClock, Parts_.Events, Metrics_,
-               [this] { return relayPeers(); }),
-        Directory_(Parts_.Formats, Parts_.Events),
-        Config_([this] { configChanged(); }),
-        Daemons_([this] { daemonsChanged(); }), Context_{Parts_.Settings,
-                                                         Self_,
-                                                         Parts_.MonotonicClock,
-                                                         Parts_.SystemClock,
-                                                         Parts_.Events,
-                                                         Parts_.ControlLoop,
-                                                         Store_,
-                                                         Parts_.Vms,
-                                                         Parts_.Advisor,
-                                                         Peers_,
-                                                         Queues_,
-                                                         Directory_,
-                                                         Metrics_},
-        Door_(Context_, *this, *this) {}
+  FleetDaemonImpl(FleetDependencies Dependencies,
+                  RequestHandlerFactory MakeRequestHandler)
+      : Dependencies_(std::move(Dependencies)),
+        MakeRequestHandler_(std::move(MakeRequestHandler)),
+        Self_{Dependencies_.Settings.Name, randomId(),
+              Dependencies_.Settings.Domain,
+              Dependencies_.Settings.PeerAddress.text(),
+              Dependencies_.Settings.CpuShare},
+        Peers_(Dependencies_.Client),
+        Store_(Dependencies_.Store, Dependencies_.Client,
+               Dependencies_.ControlLoop, Dependencies_.MonotonicClock,
+               Dependencies_.Events, Metrics_,
+               [this] { return otherDaemonAddresses(); }),
+        Directory_(Dependencies_.Formats, Dependencies_.Events),
+        ConfigRows_([this] { configChanged(); }),
+        DaemonTableRows_([this] { daemonsChanged(); }),
+        Context_{Dependencies_.Settings,
+                 Self_,
+                 Dependencies_.MonotonicClock,
+                 Dependencies_.SystemClock,
+                 Dependencies_.Events,
+                 Dependencies_.ControlLoop,
+                 Store_,
+                 Dependencies_.Vms,
+                 Dependencies_.Advisor,
+                 Peers_,
+                 Queues_,
+                 Directory_,
+                 Metrics_},
+        Frontend_(Context_, *this, *this) {}
 
   void start() override;
   void stop() override;
@@ -103,38 +109,38 @@
   const OwnerRow *ownerOf(std::string_view Service) const override;
 
 private:
-  std::unique_ptr<HttpServer> listen(const ListenAddress &At,
+  std::unique_ptr<HttpServer> listen(const ListenAddress &Endpoint,
                                      HttpHandler Handler);
-  std::shared_ptr<TableFollower> follow(std::string Table, RowSink &Sink,
-                                        milliseconds Gather = {});
+  std::shared_ptr<TableFollower> followTable(std::string Table, RowSink &Sink,
+                                             milliseconds Gather = {});
   void configChanged();
   void daemonsChanged();
-  void watchPool(const std::string &Service);
-  void poolTaken(const PoolTerm &Term);
-  void poolLost(const std::string &Service);
+  void startLease(const std::string &Service);
+  void startOwner(const PoolTerm &Term);
+  void dropOwner(const std::string &Service);
   void registerSelf();
-  void check();
+  void checkStore();
   bool ready() const;
-  void drain(TimePoint Until);
-  void finish();
-  std::vector<std::string> relayPeers() const;
+  void drain(TimePoint Deadline);
+  void finishStop();
+  std::vector<std::string> otherDaemonAddresses() const;
 
-  FleetDependencies Parts_;
-  RequestHandlerFactory MakeFront_;
+  FleetDependencies Dependencies_;
+  RequestHandlerFactory MakeRequestHandler_;
   DaemonIdentity Self_;
   FleetMetrics Metrics_;
   PeerCalls Peers_;
   RelayedStore Store_;
   QueueRegistry Queues_;
   VmDirectory Directory_;
-  RowMap Config_;
-  RowMap Daemons_;
+  RowMap ConfigRows_;
+  RowMap DaemonTableRows_;
   /// The other daemons that have registered.
-  DaemonRows Others_;
+  DaemonRows OtherDaemons_;
   FleetContext Context_;
-  JobFrontend Door_;
-  std::unique_ptr<HttpServer> Front_;
-  std::unique_ptr<HttpServer> Ready_;
+  JobFrontend Frontend_;
+  std::unique_ptr<HttpServer> FrontendServer_;
+  std::unique_ptr<HttpServer> ReadinessServer_;
   std::unique_ptr<HttpServer> PeerServer_;
   std::unique_ptr<HttpServer> MetricsServer_;
   std::vector<std::shared_ptr<TableFollower>> Followers_;
@@ -143,21 +149,23 @@
   std::map<std::string, std::shared_ptr<PoolLease>, std::less<>> Leases_;
   std::map<std::string, std::shared_ptr<PoolOwner>, std::less<>> Owners_;
   bool Stopping_ = false;
-  bool StoreAway_ = false;
+  bool StoreUnreachable_ = false;
 };
 
-std::unique_ptr<HttpServer> FleetDaemonImpl::listen(const ListenAddress &At,
-                                                    HttpHandler Handler) {
+std::unique_ptr<HttpServer>
+FleetDaemonImpl::listen(const ListenAddress &Endpoint, HttpHandler Handler) {
   HttpServerOptions Options;
-  Options.Address = At.Address;
-  Options.Port = At.Port;
-  return startLoopHttpServer(Parts_.ControlLoop, Options, std::move(Handler));
+  Options.Address = Endpoint.Address;
+  Options.Port = Endpoint.Port;
+  return startLoopHttpServer(Dependencies_.ControlLoop, Options,
+                             std::move(Handler));
 }
 
 std::shared_ptr<TableFollower>
-FleetDaemonImpl::follow(std::string Table, RowSink &Sink, milliseconds Gather) {
+FleetDaemonImpl::followTable(std::string Table, RowSink &Sink,
+                             milliseconds Gather) {
   auto Out = std::make_shared<TableFollower>(
-      Store_, Parts_.ControlLoop,
+      Store_, Dependencies_.ControlLoop,
       FollowOptions{
           .Table = std::move(Table), .Partitions = {""}, .Gather = Gather},
       Sink);
@@ -166,24 +174,28 @@
 }
 
 void FleetDaemonImpl::start() {
-  PeerServer_ = listen(Parts_.Settings.PeerAddress,
-                       makePeerHandler(*this, Parts_.Advisor, Parts_.Store,
-                                       Parts_.MonotonicClock));
-  Ready_ = listen(Parts_.Settings.ReadinessAddress,
-                  [this](const HttpRequest &, const HttpResponder &Respond) {
-                    Respond(plain(ready() ? 200 : 503));
-                  });
-  MetricsServer_ =
-      listen(Parts_.Settings.MetricsAddress,
+  PeerServer_ =
+      listen(Dependencies_.Settings.PeerAddress,
+             makePeerHandler(*this, Dependencies_.Advisor, Dependencies_.Store,
+                             Dependencies_.MonotonicClock));
+  ReadinessServer_ =
+      listen(Dependencies_.Settings.ReadinessAddress,
              [this](const HttpRequest &, const HttpResponder &Respond) {
-               Respond(HttpResponse{200, {}, Metrics_.render(), MetricsType});
+               Respond(plainResponse(ready() ? 200 : 503));
              });
-  Front_ = listen(Parts_.Settings.FrontendAddress, MakeFront_(Queues_, Door_));
-  Parts_.Events.record(EventId::DaemonStarted, Self_.Name, Self_.Incarnation);
-  Followers_ = {follow(Parts_.Formats.configTable(), Config_),
-                follow(std::string(DaemonTable), Daemons_)};
+  MetricsServer_ = listen(
+      Dependencies_.Settings.MetricsAddress,
+      [this](const HttpRequest &, const HttpResponder &Respond) {
+        Respond(HttpResponse{200, {}, Metrics_.render(), MetricsContentType});
+      });
+  FrontendServer_ = listen(Dependencies_.Settings.FrontendAddress,
+                           MakeRequestHandler_(Queues_, Frontend_));
+  Dependencies_.Events.record(EventId::DaemonStarted, Self_.Name,
+                              Self_.Incarnation);
+  Followers_ = {followTable(Dependencies_.Formats.configTable(), ConfigRows_),
+                followTable(std::string(DaemonTable), DaemonTableRows_)};
   registerSelf();
-  check();
+  checkStore();
 }
 
 void FleetDaemonImpl::registerSelf() {
@@ -197,86 +209,88 @@
                 [this](const Result<RowCommit> &Outcome) {
                   if (Outcome && Outcome->committed())
                     return;
-                  Parts_.ControlLoop.after(WriteRetry,
-                                           [this] { registerSelf(); });
+                  Dependencies_.ControlLoop.after(WriteRetryDelay,
+                                                  [this] { registerSelf(); });
                 });
 }
 
 void FleetDaemonImpl::configChanged() {
-  const auto Row = Config_.rows().find(Parts_.Formats.configKey());
-  if (Row == Config_.rows().end())
+  const auto Row = ConfigRows_.rows().find(Dependencies_.Formats.configKey());
+  if (Row == ConfigRows_.rows().end())
     return;
-  auto Config = Parts_.Formats.decodeConfig(Row->second);
+  auto Config = Dependencies_.Formats.decodeConfig(Row->second);
   if (!Config) {
-    Parts_.Events.record(EventId::RowUnreadable, Row->first,
-                         Config.error().text());
+    Dependencies_.Events.record(EventId::RowUnreadable, Row->first,
+                                Config.error().text());
     return;
   }
   const bool First = !Queues_.known();
   if (!Queues_.apply(std::move(*Config)))
     return;
-  Parts_.Events.record(EventId::ConfigApplied, Self_.Name,
-                       fmt::format("version {} queues {}",
-                                   Queues_.config().Version,
-                                   Queues_.config().Routes.size()));
+  Dependencies_.Events.record(EventId::ConfigApplied, Self_.Name,
+                              fmt::format("version {} queues {}",
+                                          Queues_.config().Version,
+                                          Queues_.config().Routes.size()));
   if (First)
-    Parts_.Events.record(EventId::DaemonReady, Self_.Name);
+    Dependencies_.Events.record(EventId::DaemonReady, Self_.Name);
   for (const std::string &Service : Queues_.config().Services)
-    watchPool(Service);
+    startLease(Service);
   for (const auto &[Service, Owner] : Owners_)
     Owner->queuesChanged();
 }
 
-std::vector<std::string> FleetDaemonImpl::relayPeers() const {
+std::vector<std::string> FleetDaemonImpl::otherDaemonAddresses() const {
   std::vector<std::string> Out;
-  for (const auto &[Name, Row] : Others_)
+  for (const auto &[Name, Row] : OtherDaemons_)
     Out.push_back(Row.PeerAddress);
   return Out;
 }
 
 void FleetDaemonImpl::daemonsChanged() {
-  Others_.clear();
-  for (const auto &[Name, Bytes] : Daemons_.rows()) {
+  OtherDaemons_.clear();
+  for (const auto &[Name, Bytes] : DaemonTableRows_.rows()) {
     auto Row = decodeDaemon(Bytes);
     if (!Row)
-      Parts_.Events.record(EventId::RowUnreadable, Name, Row.error().text());
+      Dependencies_.Events.record(EventId::RowUnreadable, Name,
+                                  Row.error().text());
     else if (Name != Self_.Name)
-      Others_[Name] = std::move(*Row);
+      OtherDaemons_[Name] = std::move(*Row);
   }
   for (const auto &[Service, Owner] : Owners_)
-    Owner->setPeers(Others_);
+    Owner->setPeers(OtherDaemons_);
 }
 
-void FleetDaemonImpl::watchPool(const std::string &Service) {
+void FleetDaemonImpl::startLease(const std::string &Service) {
   if (Leases_.contains(Service) || Stopping_)
     return;
-  auto Lease = std::make_shared<PoolLease>(Parts_.Store, Parts_.ControlLoop,
-                                           Parts_.MonotonicClock, Parts_.Events,
-                                           Self_, Service);
-  Lease->PoolsOwned = [this] { return static_cast<int>(Owners_.size()); };
-  Lease->OnTaken = [this](const PoolTerm &Term) { poolTaken(Term); };
+  auto Lease = std::make_shared<PoolLease>(
+      Dependencies_.Store, Dependencies_.ControlLoop,
+      Dependencies_.MonotonicClock, Dependencies_.Events, Self_, Service);
+  Lease->OwnedPoolCount = [this] { return static_cast<int>(Owners_.size()); };
+  Lease->OnAcquired = [this](const PoolTerm &Term) { startOwner(Term); };
   Leases_[Service] = Lease;
   Lease->start();
 }
 
-void FleetDaemonImpl::poolTaken(const PoolTerm &Term) {
+void FleetDaemonImpl::startOwner(const PoolTerm &Term) {
   auto Owner = std::make_shared<PoolOwner>(Context_, Term);
-  Owner->OnReplaced = [this, Service = Term.Service] { poolLost(Service); };
+  Owner->OnReplaced = [this, Service = Term.Service] { dropOwner(Service); };
   Owners_[Term.Service] = Owner;
   if (!VmFollower_)
-    VmFollower_ = follow(Parts_.Formats.vmTable(), Directory_, VmGather);
+    VmFollower_ =
+        followTable(Dependencies_.Formats.vmTable(), Directory_, VmBatchDelay);
   Owner->start();
-  Owner->setPeers(Others_);
+  Owner->setPeers(OtherDaemons_);
 }
 
-void FleetDaemonImpl::poolLost(const std::string &Service) {
+void FleetDaemonImpl::dropOwner(const std::string &Service) {
   Owners_.erase(Service);
   if (Owners_.empty() && VmFollower_) {
     VmFollower_->close();
     VmFollower_.reset();
-    Directory_.forget();
+    Directory_.clear();
   }
-  Leases_[Service]->lost();
+  Leases_[Service]->resumeStandby();
 }
 
 bool FleetDaemonImpl::owns(std::string_view Service) const {
@@ -300,26 +314,28 @@
 }
 
 bool FleetDaemonImpl::ready() const {
-  return Queues_.known() && !Stopping_ && !StoreAway_;
+  return Queues_.known() && !Stopping_ && !StoreUnreachable_;
 }
 
-void FleetDaemonImpl::check() {
-  const bool Away =
-      Parts_.MonotonicClock.now() - Store_.lastContact() > StoreAwayUnready;
-  if (Away != StoreAway_ && Queues_.known())
-    Parts_.Events.record(Away ? EventId::StoreLost : EventId::StoreBack,
-                         Self_.Name);
-  StoreAway_ = Away;
-  Parts_.ControlLoop.after(CheckInterval, [this] { check(); });
+void FleetDaemonImpl::checkStore() {
+  const bool Unreachable =
+      Dependencies_.MonotonicClock.now() - Store_.lastContact() >
+      StoreOutageUntilUnready;
+  if (Unreachable != StoreUnreachable_ && Queues_.known())
+    Dependencies_.Events.record(
+        Unreachable ? EventId::StoreLost : EventId::StoreBack, Self_.Name);
+  StoreUnreachable_ = Unreachable;
+  Dependencies_.ControlLoop.after(CheckInterval, [this] { checkStore(); });
 }
 
 void FleetDaemonImpl::stop() {
   if (Stopping_)
     return;
   Stopping_ = true;
-  Parts_.Events.record(EventId::DaemonStopping, Self_.Name);
-  const TimePoint Until = Parts_.MonotonicClock.now() +
-                          Parts_.Settings.StopGracePeriod - StopMargin;
+  Dependencies_.Events.record(EventId::DaemonStopping, Self_.Name);
+  const TimePoint Deadline = Dependencies_.MonotonicClock.now() +
+                             Dependencies_.Settings.StopGracePeriod -
+                             StopMargin;
   for (const auto &[Service, Lease] : Leases_)
     Lease->stop();
   for (const auto &[Service, Owner] : Owners_)
@@ -329,33 +345,37 @@
   Store_.commit(std::move(Change), WriteTimeout, [](const Result<RowCommit> &) {
     // A row that stays only costs others a failed call.
   });
-  Front_->announceClose();
-  Parts_.ControlLoop.after(LeaveRotation, [this, Until] {
-    Front_->drain();
-    drain(Until);
+  FrontendServer_->announceClose();
+  Dependencies_.ControlLoop.after(BalancerNoticeTime, [this, Deadline] {
+    FrontendServer_->drain();
+    drain(Deadline);
   });
 }
 
-void FleetDaemonImpl::drain(TimePoint Until) {
-  if (Front_->inFlight() == 0 || Parts_.MonotonicClock.now() >= Until)
-    return finish();
-  Parts_.ControlLoop.after(DrainPoll, [this, Until] { drain(Until); });
+void FleetDaemonImpl::drain(TimePoint Deadline) {
+  if (FrontendServer_->inFlight() == 0 ||
+      Dependencies_.MonotonicClock.now() >= Deadline)
+    return finishStop();
+  Dependencies_.ControlLoop.after(DrainPollInterval,
+                                  [this, Deadline] { drain(Deadline); });
 }
 
-void FleetDaemonImpl::finish() {
+void FleetDaemonImpl::finishStop() {
   for (const auto &[Service, Owner] : Owners_)
     Owner->close();
-  Parts_.Events.record(EventId::DaemonStopped, Self_.Name);
+  Dependencies_.Events.record(EventId::DaemonStopped, Self_.Name);
   // The last answers still have to leave the sockets.
-  Parts_.ControlLoop.after(DrainPoll, [this] { Parts_.ControlLoop.stop(); });
+  Dependencies_.ControlLoop.after(DrainPollInterval,
+                                  [this] { Dependencies_.ControlLoop.stop(); });
 }
 
 } // namespace
 
-std::unique_ptr<FleetDaemon> makeFleetDaemon(FleetDependencies Parts,
-                                             RequestHandlerFactory MakeFront) {
-  return std::make_unique<FleetDaemonImpl>(std::move(Parts),
-                                           std::move(MakeFront));
+std::unique_ptr<FleetDaemon>
+makeFleetDaemon(FleetDependencies Dependencies,
+                RequestHandlerFactory MakeRequestHandler) {
+  return std::make_unique<FleetDaemonImpl>(std::move(Dependencies),
+                                           std::move(MakeRequestHandler));
 }
 
 } // namespace cuminroad
--- a/packages/fleet/src/JobFrontend.cpp
+++ b/packages/fleet/src/JobFrontend.cpp
@@ -11,19 +11,19 @@
 namespace {
 
 /// Kept back from a caller's patience for the answer's way.
-constexpr milliseconds AnswerMargin{150};
+constexpr milliseconds ResponseMargin{150};
 /// Longest wait for one try of a transaction: two fit into the usual patience.
 /// Shorter ones would repeat calls to a store that is only slow.
 constexpr milliseconds WriteTimeout{1600};
 constexpr milliseconds ReadTimeout{1200};
 constexpr milliseconds OwnerTimeout{350};
-constexpr milliseconds RetryDelay{60};
+constexpr milliseconds RetryInterval{60};
 /// Longest time between two tries while no other call shows that the store
 /// answers.
-constexpr milliseconds BlindRetry{600};
+constexpr milliseconds MaxUnreachableRetryInterval{600};
 /// Share of a caller's patience for which a job is held while the store is
 /// away: enough for a blip. Callers who come back later wait no longer in all.
-constexpr double HoldShare = 0.15;
+constexpr double RetryShare = 0.15;
 /// Told to callers who are refused since the store is away: outages last
 /// seconds.
 constexpr milliseconds StoreRetryAfter{2000};
@@ -51,11 +51,11 @@
 
 struct JobFrontend::Submission {
   JobRequest Request;
-  TimePoint Began;
+  TimePoint ReceivedAt;
   /// The caller waits until then.
-  TimePoint Until;
+  TimePoint Deadline;
   /// A job that was certainly not accepted is refused after this.
-  TimePoint HoldUntil;
+  TimePoint RetryUntil;
   SubmitDone Done;
   /// An earlier try may have taken effect, or may do so yet.
   bool Uncertain = false;
@@ -63,208 +63,216 @@
 
 struct JobFrontend::Cancellation {
   std::string Job;
-  TimePoint Until;
+  TimePoint Deadline;
   std::function<void(QueryResult<bool>)> Done;
 };
 
-milliseconds JobFrontend::left(TimePoint Until) const {
+milliseconds JobFrontend::remaining(TimePoint Deadline) const {
   return std::chrono::duration_cast<milliseconds>(
-      Until - Context_.MonotonicClock.now());
+      Deadline - Context_.MonotonicClock.now());
 }
 
 void JobFrontend::submit(const QueueTerms &Queue, JobPlan Plan,
-                         milliseconds Patience, SubmitDone Done) {
-  auto Open = std::make_shared<Submission>();
-  Open->Request = JobRequest{Queue.Name, Queue.Service,
-                             Context_.Store.storeTime(), std::move(Plan)};
+                         milliseconds CallerTimeout, SubmitDone Done) {
+  auto Pending = std::make_shared<Submission>();
+  Pending->Request = JobRequest{Queue.Name, Queue.Service,
+                                Context_.Store.storeTime(), std::move(Plan)};
   const TimePoint Now = Context_.MonotonicClock.now();
-  Open->Began = Now;
-  Open->Until = Now + Patience - AnswerMargin;
-  Open->HoldUntil =
+  Pending->ReceivedAt = Now;
+  Pending->Deadline = Now + CallerTimeout - ResponseMargin;
+  Pending->RetryUntil =
       Now + milliseconds(static_cast<std::int64_t>(
-                HoldShare * static_cast<double>(Patience.count())));
-  Open->Done = std::move(Done);
-  write(std::move(Open));
+                RetryShare * static_cast<double>(CallerTimeout.count())));
+  Pending->Done = std::move(Done);
+  writeRequest(std::move(Pending));
 }
 
-void JobFrontend::write(std::shared_ptr<Submission> Open) {
-  const RowName Row = requestRow(Open->Request.Plan.Id);
+void JobFrontend::writeRequest(std::shared_ptr<Submission> Pending) {
+  const RowName Row = requestRow(Pending->Request.Plan.Id);
   RowTransaction Change;
   Change.Checks.push_back(RowCheck{Row, 0});
-  Change.Puts.push_back(RowPut{Row, encodeRequest(Open->Request)});
+  Change.Puts.push_back(RowPut{Row, encodeRequest(Pending->Request)});
   const milliseconds Timeout =
-      std::clamp(left(Open->Until), RetryDelay, WriteTimeout);
+      std::clamp(remaining(Pending->Deadline), RetryInterval, WriteTimeout);
   Context_.Store.commit(std::move(Change), Timeout,
-                        [this, Open](Result<RowCommit> Outcome) {
-                          written(Open, std::move(Outcome));
+                        [this, Pending](Result<RowCommit> Outcome) {
+                          handleWriteResult(Pending, std::move(Outcome));
                         });
 }
 
-void JobFrontend::written(std::shared_ptr<Submission> Open,
-                          Result<RowCommit> Outcome) {
-  const std::string &Job = Open->Request.Plan.Id;
+void JobFrontend::handleWriteResult(std::shared_ptr<Submission> Pending,
+                                    Result<RowCommit> Outcome) {
+  const std::string &Job = Pending->Request.Plan.Id;
   if (Outcome) {
     // A conflict means that the job is there already: it remains one job.
     Context_.Events.record(Outcome->committed() ? EventId::JobAccepted
                                                 : EventId::JobReadBack,
-                           Job, describe(Open->Request));
-    return finish(*Open, SubmitReply{SubmitOutcome::Accepted});
+                           Job, describe(Pending->Request));
+    return reply(*Pending, SubmitReply{SubmitOutcome::Accepted});
   }
-  Open->Uncertain =
-      Open->Uncertain || Outcome.error().Code == ErrorCode::WriteOutcomeUnknown;
+  Pending->Uncertain = Pending->Uncertain ||
+                       Outcome.error().Code == ErrorCode::WriteOutcomeUnknown;
   const TimePoint Now = Context_.MonotonicClock.now();
   // What is uncertain is tried for as long as the caller waits, since nothing
   // better can be told; what was certainly not accepted, for a part of it.
-  if (Now < (Open->Uncertain ? Open->Until : Open->HoldUntil))
-    return writeWhenReachable(std::move(Open), Now);
-  if (Open->Uncertain) {
+  if (Now < (Pending->Uncertain ? Pending->Deadline : Pending->RetryUntil))
+    return writeWhenReachable(std::move(Pending), Now);
+  if (Pending->Uncertain) {
     Context_.Events.record(EventId::JobOutcomeUnknown, Job,
                            Outcome.error().text());
-    return finish(*Open, SubmitReply{SubmitOutcome::Unknown});
+    return reply(*Pending, SubmitReply{SubmitOutcome::Unknown});
   }
   Context_.Events.record(EventId::JobRefused, Job, Outcome.error().text());
-  finish(*Open, SubmitReply{SubmitOutcome::NotAccepted, StoreRetryAfter});
+  reply(*Pending, SubmitReply{SubmitOutcome::NotAccepted, StoreRetryAfter});
 }
 
-void JobFrontend::finish(const Submission &Open, const SubmitReply &Reply) {
+void JobFrontend::reply(const Submission &Pending, const SubmitReply &Reply) {
   constexpr std::string_view Names[] = {"accepted", "not_accepted", "unknown"};
   Context_.Metrics.recordSubmission(
-      Open.Request.Queue, Names[static_cast<std::size_t>(Reply.Outcome)],
+      Pending.Request.Queue, Names[static_cast<std::size_t>(Reply.Outcome)],
       std::chrono::duration_cast<milliseconds>(Context_.MonotonicClock.now() -
-                                               Open.Began));
-  Open.Done(Reply);
+                                               Pending.ReceivedAt));
+  Pending.Done(Reply);
 }
 
-void JobFrontend::writeWhenReachable(std::shared_ptr<Submission> Open,
+void JobFrontend::writeWhenReachable(std::shared_ptr<Submission> Pending,
                                      TimePoint FailedAt) {
-  Context_.ControlLoop.after(RetryDelay, [this, Open, FailedAt] {
+  Context_.ControlLoop.after(RetryInterval, [this, Pending, FailedAt] {
     const TimePoint Now = Context_.MonotonicClock.now();
-    const bool Reached = Context_.Store.lastContact() > FailedAt;
+    const bool StoreReached = Context_.Store.lastContact() > FailedAt;
     // Other calls show that the store is back; a try of each waiting caller
     // would only add to its load.
-    if (Reached || Now - FailedAt > BlindRetry ||
-        Now >= (Open->Uncertain ? Open->Until : Open->HoldUntil))
-      write(Open);
+    if (StoreReached || Now - FailedAt > MaxUnreachableRetryInterval ||
+        Now >= (Pending->Uncertain ? Pending->Deadline : Pending->RetryUntil))
+      writeRequest(Pending);
     else
-      writeWhenReachable(Open, FailedAt);
+      writeWhenReachable(Pending, FailedAt);
   });
 }
 
-void JobFrontend::cancel(std::string_view Job, milliseconds Patience,
+void JobFrontend::cancel(std::string_view Job, milliseconds CallerTimeout,
                          std::function<void(QueryResult<bool>)> Done) {
-  auto Open = std::make_shared<Cancellation>();
-  Open->Job = Job;
-  Open->Until = Context_.MonotonicClock.now() + Patience - AnswerMargin;
-  Open->Done = std::move(Done);
-  findForCancel(std::move(Open));
+  auto Pending = std::make_shared<Cancellation>();
+  Pending->Job = Job;
+  Pending->Deadline =
+      Context_.MonotonicClock.now() + CallerTimeout - ResponseMargin;
+  Pending->Done = std::move(Done);
+  readForCancel(std::move(Pending));
 }
 
-void JobFrontend::retryCancel(std::shared_ptr<Cancellation> Open) {
-  if (left(Open->Until) <= RetryDelay)
-    return Open->Done(QueryResult<bool>::unknown());
-  Context_.ControlLoop.after(RetryDelay, [this, Open] { findForCancel(Open); });
+void JobFrontend::retryCancel(std::shared_ptr<Cancellation> Pending) {
+  if (remaining(Pending->Deadline) <= RetryInterval)
+    return Pending->Done(QueryResult<bool>::unknown());
+  Context_.ControlLoop.after(RetryInterval,
+                             [this, Pending] { readForCancel(Pending); });
 }
 
-void JobFrontend::findForCancel(std::shared_ptr<Cancellation> Open) {
-  const TimePoint Until = Open->Until;
-  readUntil(requestRange(Open->Job), Until,
-            [this, Open](const std::optional<RowPage> &Page) {
-              if (!Page)
-                return Open->Done(QueryResult<bool>::unknown());
-              std::int64_t Version = 0;
-              bool Cancelled = false;
-              for (const StoredRow &Each : Page->Rows) {
-                Cancelled = Cancelled || !cancelledJob(Each.Name.Key).empty();
-                if (Each.Name.Key == Open->Job)
-                  Version = Each.Version;
-              }
-              if (Version == 0 || Cancelled)
-                return Open->Done(QueryResult<bool>::known(Version != 0));
-              writeCancel(Open, Version);
-            });
+void JobFrontend::readForCancel(std::shared_ptr<Cancellation> Pending) {
+  const TimePoint Deadline = Pending->Deadline;
+  readWithRetry(
+      requestRange(Pending->Job), Deadline,
+      [this, Pending](const std::optional<RowPage> &Page) {
+        if (!Page)
+          return Pending->Done(QueryResult<bool>::unknown());
+        std::int64_t Version = 0;
+        bool Cancelled = false;
+        for (const StoredRow &Each : Page->Rows) {
+          Cancelled = Cancelled || !cancelledJob(Each.Name.Key).empty();
+          if (Each.Name.Key == Pending->Job)
+            Version = Each.Version;
+        }
+        if (Version == 0 || Cancelled)
+          return Pending->Done(QueryResult<bool>::known(Version != 0));
+        writeCancel(Pending, Version);
+      });
 }
 
-void JobFrontend::writeCancel(std::shared_ptr<Cancellation> Open,
+void JobFrontend::writeCancel(std::shared_ptr<Cancellation> Pending,
                               std::int64_t RequestVersion) {
   RowTransaction Change;
-  Change.Checks.push_back(RowCheck{requestRow(Open->Job), RequestVersion});
-  Change.Puts.push_back(RowPut{cancelRow(Open->Job), "1"});
-  Context_.Store.commit(std::move(Change),
-                        std::clamp(left(Open->Until), RetryDelay, WriteTimeout),
-                        [this, Open](const Result<RowCommit> &Outcome) {
-                          if (!Outcome || !Outcome->committed())
-                            return retryCancel(Open);
-                          Context_.Events.record(EventId::JobCancelled,
-                                                 Open->Job);
-                          Open->Done(QueryResult<bool>::known(true));
-                        });
+  Change.Checks.push_back(RowCheck{requestRow(Pending->Job), RequestVersion});
+  Change.Puts.push_back(RowPut{cancelRow(Pending->Job), "1"});
+  Context_.Store.commit(
+      std::move(Change),
+      std::clamp(remaining(Pending->Deadline), RetryInterval, WriteTimeout),
+      [this, Pending](const Result<RowCommit> &Outcome) {
+        if (!Outcome || !Outcome->committed())
+          return retryCancel(Pending);
+        Context_.Events.record(EventId::JobCancelled, Pending->Job);
+        Pending->Done(QueryResult<bool>::known(true));
+      });
 }
 
 void JobFrontend::stage(const QueueTerms &Queue, std::string_view Id,
-                        milliseconds Patience, StageDone Done) {
+                        milliseconds CallerTimeout, StageDone Done) {
   const std::string Job(Id);
-  const TimePoint Until =
-      Context_.MonotonicClock.now() + Patience - AnswerMargin;
+  const TimePoint Deadline =
+      Context_.MonotonicClock.now() + CallerTimeout - ResponseMargin;
   if (Owned_.owns(Queue.Service)) {
     const auto Stage = Owned_.stage(Queue.Service, Job);
     if (Stage)
       return Done(QueryResult<std::optional<JobStage>>::known(Stage));
-    return readStage(Job, Until, std::move(Done));
+    return readStage(Job, Deadline, std::move(Done));
   }
   const OwnerRow *Owner = Owners_.ownerOf(Queue.Service);
   if (Owner == nullptr || Owner->PeerAddress.empty())
-    return readStage(Job, Until, std::move(Done));
+    return readStage(Job, Deadline, std::move(Done));
   Context_.Peers.stage(
       Owner->PeerAddress, Queue.Service, Job, OwnerTimeout,
-      [this, Job, Until,
+      [this, Job, Deadline,
        Done = std::move(Done)](Result<std::optional<JobStage>> Stage) {
         if (Stage && *Stage)
           return Done(QueryResult<std::optional<JobStage>>::known(*Stage));
         // The owner may not have heard of it yet; the store decides.
-        readStage(Job, Until, Done);
+        readStage(Job, Deadline, Done);
       });
 }
 
-void JobFrontend::readUntil(RowRange Range, TimePoint Until, ReadDone Done) {
+void JobFrontend::readWithRetry(RowRange Range, TimePoint Deadline,
+                                ReadDone Done) {
   Context_.Store.read(
-      Range, std::clamp(left(Until), RetryDelay, ReadTimeout),
-      [this, Range, Until, Done = std::move(Done)](Result<RowPage> Page) {
+      Range, std::clamp(remaining(Deadline), RetryInterval, ReadTimeout),
+      [this, Range, Deadline, Done = std::move(Done)](Result<RowPage> Page) {
         if (Page)
           return Done(std::move(*Page));
-        if (left(Until) <= RetryDelay)
+        if (remaining(Deadline) <= RetryInterval)
           return Done(std::nullopt);
-        Context_.ControlLoop.after(RetryDelay, [this, Range, Until, Done] {
-          readUntil(Range, Until, Done);
-        });
+        Context_.ControlLoop.after(RetryInterval,
+                                   [this, Range, Deadline, Done] {
+                                     readWithRetry(Range, Deadline, Done);
+                                   });
       });
 }
 
-void JobFrontend::readStage(std::string Job, TimePoint Until, StageDone Done) {
+void JobFrontend::readStage(std::string Job, TimePoint Deadline,
+                            StageDone Done) {
   using Answer = QueryResult<std::optional<JobStage>>;
   RowRange Range = requestRange(Job);
-  readUntil(std::move(Range), Until,
-            [this, Job = std::move(Job), Until,
-             Done = std::move(Done)](const std::optional<RowPage> &Page) {
-              if (!Page)
-                return Done(Answer::unknown());
-              if (Page->Rows.empty() || Page->Rows.front().Name.Key != Job)
-                return Done(Answer::known(std::nullopt));
-              const auto Request = decodeRequest(Job, Page->Rows.front().Value);
-              if (!Request) {
-                Context_.Events.record(EventId::RowUnreadable, Job,
-                                       Request.error().text());
-                return Done(Answer::unknown());
-              }
-              readProgress(Request->Service, Job, Until, Done);
-            });
+  readWithRetry(std::move(Range), Deadline,
+                [this, Job = std::move(Job), Deadline,
+                 Done = std::move(Done)](const std::optional<RowPage> &Page) {
+                  if (!Page)
+                    return Done(Answer::unknown());
+                  if (Page->Rows.empty() || Page->Rows.front().Name.Key != Job)
+                    return Done(Answer::known(std::nullopt));
+                  const auto Request =
+                      decodeRequest(Job, Page->Rows.front().Value);
+                  if (!Request) {
+                    Context_.Events.record(EventId::RowUnreadable, Job,
+                                           Request.error().text());
+                    return Done(Answer::unknown());
+                  }
+                  readProgress(Request->Service, Job, Deadline, Done);
+                });
 }
 
 void JobFrontend::readProgress(std::string_view Service, const std::string &Job,
-                               TimePoint Until, StageDone Done) {
+                               TimePoint Deadline, StageDone Done) {
   using Answer = QueryResult<std::optional<JobStage>>;
   const RowName Row = progressRow(Service, Job);
-  readUntil(
-      RowRange{Row.Table, Row.Partition, Row.Key, keyAfter(Row.Key), 1}, Until,
+  readWithRetry(
+      RowRange{Row.Table, Row.Partition, Row.Key, keyAfter(Row.Key), 1},
+      Deadline,
       [this, Job, Done = std::move(Done)](const std::optional<RowPage> &Page) {
         if (!Page)
           return Done(Answer::unknown());
@@ -280,7 +288,7 @@
       });
 }
 
-void JobFrontend::pending(const QueueTerms &Queue, milliseconds Patience,
+void JobFrontend::pending(const QueueTerms &Queue, milliseconds CallerTimeout,
                           CountDone Done) {
   if (Owned_.owns(Queue.Service))
     return Done(
@@ -289,7 +297,7 @@
   if (Owner == nullptr || Owner->PeerAddress.empty())
     return Done(QueryResult<int>::unknown());
   Context_.Peers.pending(Owner->PeerAddress, Queue.Service, Queue.Name,
-                         std::min(Patience - AnswerMargin, ReadTimeout),
+                         std::min(CallerTimeout - ResponseMargin, ReadTimeout),
                          [Done = std::move(Done)](const Result<int> &Count) {
                            Done(Count ? QueryResult<int>::known(*Count)
                                       : QueryResult<int>::unknown());
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -14,25 +14,25 @@
 
 /// Least time between two passes of the scheduler: events that come together
 /// are handled together.
-constexpr milliseconds PassInterval{15};
+constexpr milliseconds MinPassInterval{15};
 /// Passes take at most one part in this many of the time.
-constexpr int PassShare = 4;
+constexpr int PassTimeDivisor = 4;
 /// A pass at least this often, for what becomes due without an event.
-constexpr milliseconds IdlePass{150};
+constexpr milliseconds PeriodicWorkInterval{150};
 /// Pause between reads of new jobs, so that several come in one.
-constexpr milliseconds GatherRequests{15};
+constexpr milliseconds RequestBatchDelay{15};
 constexpr milliseconds ReadTimeout{1500};
 /// While nothing could be recorded for this long, nothing is placed: it would
 /// wait all the same, and its ticket would expire.
-constexpr milliseconds StoreStall{700};
-constexpr int StoreStallDelays = 3;
+constexpr milliseconds StoreStallThreshold{700};
+constexpr int StoreStallDelayFactor = 3;
 /// From the record of a start in the store until it is at its VM.
-constexpr milliseconds SendDelay{40};
-constexpr milliseconds ReadRetry{100};
-constexpr milliseconds CleaningInterval{10000};
-constexpr milliseconds LoadInterval{1000};
+constexpr milliseconds StartSendDelay{40};
+constexpr milliseconds ReadRetryDelay{100};
+constexpr milliseconds CleanupInterval{10000};
+constexpr milliseconds LoadReportInterval{1000};
 /// Finished jobs stay readable this much longer than promised.
-constexpr milliseconds KeepMargin{60000};
+constexpr milliseconds RetentionMargin{60000};
 
 PoolOptions poolOptions(const FleetSettings &Settings) {
   PoolOptions Out;
@@ -56,44 +56,44 @@
 
 std::int64_t PoolOwner::serialOf(const std::string &HeadValue) const {
   const auto Row = decodeOwner(HeadValue);
-  const bool Mine = Row && Row->Incarnation == Context_.Self.Incarnation &&
-                    Row->Epoch == Term_.Epoch;
-  return Mine ? Row->Serial : 0;
+  const bool IsOwn = Row && Row->Incarnation == Context_.Self.Incarnation &&
+                     Row->Epoch == Term_.Epoch;
+  return IsOwn ? Row->Serial : 0;
 }
 
 void PoolOwner::start() {
   if (Term_.Inherited)
-    InheritedUntil_ = Context_.MonotonicClock.now() + InheritedLeaseWait;
+    InheritedLeasesUntil_ = Context_.MonotonicClock.now() + InheritedLeaseWait;
   Writer_ = std::make_shared<ChainedWriter>(
       Context_.Store, Context_.ControlLoop, Context_.MonotonicClock,
       ChainedWriter::Head{
           ownerRow(Term_.Service),
           [this](std::int64_t Serial) { return headValue(Serial); },
           [this](const std::string &Value) { return serialOf(Value); }});
-  Writer_->OnReplaced = [this] { replaced(); };
+  Writer_->OnReplaced = [this] { handleReplacement(); };
   Writer_->begin(Term_.RowVersion, Term_.WrittenAt);
-  Advice_ = std::make_shared<AdviceDispatcher>(
+  AdviceDispatcher_ = std::make_shared<AdviceDispatcher>(
       Context_.Advisor, Context_.Peers, Context_.ControlLoop,
       Context_.MonotonicClock, Context_.Self.Name,
       [this](const StepName &Step) { return Scheduler_->wantsAdvice(Step); },
       [this](const StepName &Step,
              const Result<AdviceDispatcher::Answer> &Answer) {
-        adviceAnswered(Step, Answer);
+        handleAdvice(Step, Answer);
       });
-  Advice_->setQueues(Context_.Queues.config().Routes);
+  AdviceDispatcher_->setQueues(Context_.Queues.config().Routes);
   Requests_ = std::make_shared<TableFollower>(
       Context_.Store, Context_.ControlLoop,
       FollowOptions{.Table = std::string(RequestTable),
                     .Partitions = requestPartitions(),
-                    .Gather = GatherRequests},
+                    .Gather = RequestBatchDelay},
       *this);
   Requests_->start();
   readProgress("");
-  renewRegularly();
+  runPeriodicWork();
 }
 
-void PoolOwner::adviceAnswered(const StepName &Step,
-                               const Result<AdviceDispatcher::Answer> &Answer) {
+void PoolOwner::handleAdvice(const StepName &Step,
+                             const Result<AdviceDispatcher::Answer> &Answer) {
   Context_.Metrics.recordAdvice(Answer ? "answered" : "failed");
   if (!Answer) {
     Context_.Events.record(EventId::AdviceFailed, Step.Job,
@@ -103,15 +103,15 @@
   if (!Answer->Asked.empty())
     Context_.Events.record(EventId::AdviceCame, Step.Job,
                            fmt::format("{}.{} good {} of {}", Step.Occurrence,
-                                       Step.Step, Answer->Good.size(),
+                                       Step.Step, Answer->Allowed.size(),
                                        Answer->Asked.size()));
   const QueueTerms *Terms = Scheduler_->terms(Step.Job);
   const milliseconds ValidFor = Terms != nullptr && Terms->Advice
                                     ? Terms->Advice->ValidFor
                                     : milliseconds(0);
-  Scheduler_->adviceCame(Step, Answer->Asked, Answer->Good,
-                         Answer->At + ValidFor);
-  wake();
+  Scheduler_->adviceCame(Step, Answer->Asked, Answer->Allowed,
+                         Answer->ReceivedAt + ValidFor);
+  schedulePass();
 }
 
 void PoolOwner::close() {
@@ -123,7 +123,7 @@
     Context_.Directory.removeListener(DirectoryListener_);
   Writer_->close();
   Requests_->close();
-  Advice_->close();
+  AdviceDispatcher_->close();
   for (const auto &[Id, Link] : Links_)
     Link->close();
 }
@@ -150,7 +150,7 @@
   });
 }
 
-void PoolOwner::replaced() {
+void PoolOwner::handleReplacement() {
   if (Closed_)
     return;
   Context_.Events.record(EventId::OwnershipLost, Term_.Service,
@@ -161,7 +161,7 @@
 }
 
 void PoolOwner::setPeers(const DaemonRows &Others) {
-  Advice_->setPeers(Others);
+  AdviceDispatcher_->setPeers(Others);
 }
 
 void PoolOwner::readProgress(std::string From) {
@@ -172,17 +172,17 @@
         if (Self->Closed_)
           return;
         if (Page)
-          return Self->progressRead(std::move(Page));
+          return Self->handleProgressPage(std::move(Page));
         Self->Context_.ControlLoop.after(
-            ReadRetry, [Self, From] { Self->readProgress(From); });
+            ReadRetryDelay, [Self, From] { Self->readProgress(From); });
       });
 }
 
-void PoolOwner::progressRead(Result<RowPage> Page) {
+void PoolOwner::handleProgressPage(Result<RowPage> Page) {
   for (const StoredRow &Row : Page->Rows) {
     auto Progress = decodeProgress(Row.Value);
     if (Progress)
-      ReadProgress_[Row.Name.Key] = std::move(*Progress);
+      LoadedProgress_[Row.Name.Key] = std::move(*Progress);
     else
       Context_.Events.record(EventId::RowUnreadable, Row.Name.Key,
                              Progress.error().text());
@@ -190,24 +190,24 @@
   if (Page->HasMore && !Page->Rows.empty())
     return readProgress(keyAfter(Page->Rows.back().Name.Key));
   ProgressRead_ = true;
-  loadWhenRead();
+  loadJobsWhenRead();
 }
 
 void PoolOwner::tableRead(std::vector<StoredRow> Rows) {
   for (const StoredRow &Row : Rows)
-    addRow(Row);
+    applyRow(Row);
   RequestsRead_ = true;
-  loadWhenRead();
-  wake();
+  loadJobsWhenRead();
+  schedulePass();
 }
 
 void PoolOwner::rowsChanged(std::vector<StoredRow> Rows) {
   for (const StoredRow &Row : Rows)
-    addRow(Row);
-  wake();
+    applyRow(Row);
+  schedulePass();
 }
 
-void PoolOwner::addRow(const StoredRow &Row) {
+void PoolOwner::applyRow(const StoredRow &Row) {
   if (Row.Removed)
     return;
   const std::string_view Cancelled = cancelledJob(Row.Name.Key);
@@ -226,10 +226,10 @@
 void PoolOwner::applyRequest(JobRequest Request) {
   const std::string Job = Request.Plan.Id;
   if (!Scheduler_) {
-    ReadRequests_[Job] = std::move(Request);
+    LoadedRequests_[Job] = std::move(Request);
     return;
   }
-  if (Scheduler_->stage(Job) || Final_.contains(Job))
+  if (Scheduler_->stage(Job) || FinalStages_.contains(Job))
     return;
   QueueTerms Terms;
   if (const QueueTerms *Known = Context_.Queues.terms(Request.Queue))
@@ -238,13 +238,13 @@
   const milliseconds Age = std::max(
       Context_.Store.storeTime() - Request.AcceptedAt, milliseconds(0));
   const TimePoint Accepted = Context_.MonotonicClock.now() - Age;
-  const auto Progress = ReadProgress_.find(Job);
-  if (Progress == ReadProgress_.end()) {
+  const auto Progress = LoadedProgress_.find(Job);
+  if (Progress == LoadedProgress_.end()) {
     Scheduler_->addJob(std::move(Request.Plan), std::move(Terms), Accepted);
     return;
   }
   if (isFinal(Progress->second.Stage))
-    Final_[Job] =
+    FinalStages_[Job] =
         FinalStage{Progress->second.Stage, Context_.MonotonicClock.now()};
   Scheduler_->restoreJob(std::move(Request.Plan), std::move(Terms), Accepted,
                          Progress->second);
@@ -252,93 +252,100 @@
 
 void PoolOwner::applyCancel(const std::string &Job) {
   if (!Scheduler_)
-    ReadCancels_.insert(Job);
+    LoadedCancels_.insert(Job);
   else
     Scheduler_->cancelJob(Job);
 }
 
-void PoolOwner::loadWhenRead() {
+void PoolOwner::loadJobsWhenRead() {
   if (!RequestsRead_ || !ProgressRead_ || Scheduler_)
     return;
   Scheduler_ = makePoolScheduler(Context_.MonotonicClock, Context_.SystemClock,
                                  poolOptions(Context_.Settings));
-  for (auto &[Job, Request] : ReadRequests_)
+  for (auto &[Job, Request] : LoadedRequests_)
     applyRequest(std::move(Request));
-  for (const std::string &Job : ReadCancels_)
+  for (const std::string &Job : LoadedCancels_)
     Scheduler_->cancelJob(Job);
   Context_.Events.record(EventId::JobLoaded, Term_.Service,
                          fmt::format("epoch {} jobs {} with progress {}",
-                                     Term_.Epoch, ReadRequests_.size(),
-                                     ReadProgress_.size()));
-  ReadRequests_.clear();
-  ReadCancels_.clear();
-  ReadProgress_.clear();
+                                     Term_.Epoch, LoadedRequests_.size(),
+                                     LoadedProgress_.size()));
+  LoadedRequests_.clear();
+  LoadedCancels_.clear();
+  LoadedProgress_.clear();
   DirectoryListener_ = Context_.Directory.addListener([this] { syncVms(); });
   syncVms();
-  wake();
+  schedulePass();
 }
 
 void PoolOwner::queuesChanged() {
   if (!Scheduler_)
     return;
-  Advice_->setQueues(Context_.Queues.config().Routes);
+  AdviceDispatcher_->setQueues(Context_.Queues.config().Routes);
   for (const QueueRoute &Route : Context_.Queues.config().Routes)
     Scheduler_->setTerms(Route.Terms);
-  wake();
+  schedulePass();
 }
 
-VmLink *PoolOwner::link(std::string_view Vm) const {
+VmLink *PoolOwner::findLink(std::string_view Vm) const {
   const auto Found = Links_.find(Vm);
   return Found == Links_.end() ? nullptr : Found->second.get();
 }
 
-void PoolOwner::wake() {
-  if (PassPlanned_ || Closed_ || !Scheduler_)
+void PoolOwner::schedulePass() {
+  if (PassScheduled_ || Closed_ || !Scheduler_)
     return;
-  PassPlanned_ = true;
+  PassScheduled_ = true;
   const auto Since = std::chrono::duration_cast<milliseconds>(
-      Context_.MonotonicClock.now() - LastPass_);
-  const milliseconds Interval = std::max(PassInterval, PassTook_ * PassShare);
+      Context_.MonotonicClock.now() - LastPassAt_);
+  const milliseconds Interval =
+      std::max(MinPassInterval, LastPassDuration_ * PassTimeDivisor);
   Context_.ControlLoop.after(std::max(Interval - Since, milliseconds(0)),
                              [Self = shared_from_this()] {
-                               Self->PassPlanned_ = false;
+                               Self->PassScheduled_ = false;
                                if (!Self->Closed_)
-                                 Self->pass();
+                                 Self->runPass();
                              });
 }
 
-void PoolOwner::pass() {
-  LastPass_ = Context_.MonotonicClock.now();
-  Scheduler_->setStartDelay(Writer_->expectedDelay() + SendDelay);
-  if (LastPass_ - Writer_->renewedAt() <
-      StoreStall + Writer_->recentDelay() * StoreStallDelays)
+void PoolOwner::runPass() {
+  LastPassAt_ = Context_.MonotonicClock.now();
+  Scheduler_->setStartDelay(Writer_->expectedDelay() + StartSendDelay);
+  if (LastPassAt_ - Writer_->renewedAt() <
+      StoreStallThreshold + Writer_->recentDelay() * StoreStallDelayFactor)
     Scheduler_->schedule();
-  for (const PoolCommand &Command : Scheduler_->takeCommands())
-    std::visit([this](const auto &Do) { execute(Do); }, Command);
-  tellNotes();
+  for (const PoolCommand &Next : Scheduler_->takeCommands())
+    std::visit([this](const auto &Command) { execute(Command); }, Next);
+  logNotes();
   recordChanges();
-  PassTook_ = std::chrono::duration_cast<milliseconds>(
-      Context_.MonotonicClock.now() - LastPass_);
+  LastPassDuration_ = std::chrono::duration_cast<milliseconds>(
+      Context_.MonotonicClock.now() - LastPassAt_);
 }
 
-void PoolOwner::execute(const StartRun &Do) { Starts_.push_back(Do); }
+void PoolOwner::execute(const StartRun &Command) {
+  UnrecordedStarts_.push_back(Command);
+}
 
-void PoolOwner::execute(const StopRun &Do) {
-  VmLink *Link = link(Do.Vm);
-  if (Link != nullptr && Link->stopRun(Do.Run))
-    Context_.Events.record(EventId::RunStopped, formatRun(Do.Run), Do.Vm);
+void PoolOwner::execute(const StopRun &Command) {
+  VmLink *Link = findLink(Command.Vm);
+  if (Link != nullptr && Link->stopRun(Command.Run))
+    Context_.Events.record(EventId::RunStopped, formatRun(Command.Run),
+                           Command.Vm);
 }
 
-void PoolOwner::execute(const PaceRun &Do) {
-  Context_.Events.record(EventId::RunPaced, formatRun(Do.Run),
-                         fmt::format("{} percent {}", Do.Vm, Do.Percent));
-  if (VmLink *Link = link(Do.Vm))
-    Link->paceRun(Do.Run, Do.Percent);
+void PoolOwner::execute(const PaceRun &Command) {
+  Context_.Events.record(
+      EventId::RunPaced, formatRun(Command.Run),
+      fmt::format("{} percent {}", Command.Vm, Command.Percent));
+  if (VmLink *Link = findLink(Command.Vm))
+    Link->paceRun(Command.Run, Command.Percent);
 }
 
-void PoolOwner::execute(const AskAdvice &Do) { Advice_->ask(Do); }
+void PoolOwner::execute(const AskAdvice &Command) {
+  AdviceDispatcher_->requestAdvice(Command);
+}
 
-void PoolOwner::tellNotes() {
+void PoolOwner::logNotes() {
   const PoolNotes Notes = Scheduler_->takeNotes();
   for (const RunLoss &Loss : Notes.Losses)
     Context_.Events.record(EventId::RunLost, formatRun(Loss.Run),
@@ -364,24 +371,24 @@
       return encodeProgress(Scheduler_->progress(Job));
     });
     const auto Stage = Scheduler_->stage(Job);
-    if (Stage && isFinal(*Stage) && !Final_.contains(Job))
+    if (Stage && isFinal(*Stage) && !FinalStages_.contains(Job))
       Finals.emplace_back(Job, *Stage);
   }
-  if (Starts_.empty() && Finals.empty())
+  if (UnrecordedStarts_.empty() && Finals.empty())
     return;
   Writer_->whenCommitted([Self = shared_from_this(),
-                          Starts = std::exchange(Starts_, {}),
+                          Starts = std::exchange(UnrecordedStarts_, {}),
                           Finals = std::move(Finals)] {
     if (Self->Closed_)
       return;
     for (const auto &[Job, Stage] : Finals) {
-      Self->Final_[Job] =
+      Self->FinalStages_[Job] =
           FinalStage{Stage, Self->Context_.MonotonicClock.now()};
       Self->Context_.Events.record(EventId::JobStage, Job, jobStageName(Stage));
     }
     for (const StartRun &Start : Starts) {
       const JobPlan *Plan = Self->Scheduler_->plan(Start.Run.Task.Step.Job);
-      VmLink *Link = Self->link(Start.Vm);
+      VmLink *Link = Self->findLink(Start.Vm);
       if (Plan == nullptr || Link == nullptr)
         continue;
       Link->startRun(Start, Plan->Spec);
@@ -389,11 +396,11 @@
   });
 }
 
-void PoolOwner::tellLoad() {
+void PoolOwner::reportLoad() {
   const TimePoint Now = Context_.MonotonicClock.now();
-  if (Now - LastLoad_ < LoadInterval)
+  if (Now - LastLoadReportAt_ < LoadReportInterval)
     return;
-  LastLoad_ = Now;
+  LastLoadReportAt_ = Now;
   const PoolLoad Load = Scheduler_->load();
   Context_.Metrics.setPoolLoad(Term_.Service, Load);
   if (Load.Jobs == 0)
@@ -405,33 +412,35 @@
                   "write_ms {} questions {}",
                   Load.Vms, Load.HeldVms, Load.Jobs, Load.WaitingTasks,
                   Load.Placed, Load.Running, Load.Stopping, Load.Strangers,
-                  Load.UsedCpu, Load.TotalCpu, PassTook_.count(),
-                  Writer_->expectedDelay().count(), Advice_->waiting()));
+                  Load.UsedCpu, Load.TotalCpu, LastPassDuration_.count(),
+                  Writer_->expectedDelay().count(),
+                  AdviceDispatcher_->waiting()));
 }
 
-void PoolOwner::renewRegularly() {
+void PoolOwner::runPeriodicWork() {
   if (Closed_)
     return;
   const TimePoint Now = Context_.MonotonicClock.now();
   if (Now - Writer_->renewedAt() >= OwnerRenewalInterval)
     Writer_->renew();
   if (Scheduler_) {
-    checkUnlistedVms();
-    tellLoad();
-    wake();
-    if (Now - LastCleaning_ >= CleaningInterval)
-      forgetOldJobs();
+    removeUnlistedVms();
+    reportLoad();
+    schedulePass();
+    if (Now - LastCleanupAt_ >= CleanupInterval)
+      removeExpiredJobs();
   }
-  Context_.ControlLoop.after(
-      IdlePass, [Self = shared_from_this()] { Self->renewRegularly(); });
+  Context_.ControlLoop.after(PeriodicWorkInterval, [Self = shared_from_this()] {
+    Self->runPeriodicWork();
+  });
 }
 
-void PoolOwner::forgetOldJobs() {
+void PoolOwner::removeExpiredJobs() {
   const TimePoint Now = Context_.MonotonicClock.now();
-  LastCleaning_ = Now;
-  for (auto Entry = Final_.begin(); Entry != Final_.end();) {
-    if (Now - Entry->second.At <
-        Context_.Settings.FinishedJobRetention + KeepMargin) {
+  LastCleanupAt_ = Now;
+  for (auto Entry = FinalStages_.begin(); Entry != FinalStages_.end();) {
+    if (Now - Entry->second.RecordedAt <
+        Context_.Settings.FinishedJobRetention + RetentionMargin) {
       ++Entry;
       continue;
     }
@@ -444,13 +453,13 @@
                           [](const Result<RowCommit> &) {
                             // A row that stays is removed by a later owner.
                           });
-    Entry = Final_.erase(Entry);
+    Entry = FinalStages_.erase(Entry);
   }
 }
 
 std::optional<JobStage> PoolOwner::stage(std::string_view Job) const {
-  const auto Final = Final_.find(Job);
-  if (Final != Final_.end())
+  const auto Final = FinalStages_.find(Job);
+  if (Final != FinalStages_.end())
     return Final->second.Stage;
   const auto Stage = Scheduler_->stage(Job);
   // A final stage is not told before it is recorded.
--- a/packages/fleet/src/PoolOwnerVms.cpp
+++ b/packages/fleet/src/PoolOwnerVms.cpp
@@ -25,33 +25,33 @@
     Link = std::make_shared<VmLink>(
         Entry,
         VmLink::Options{Term_.Epoch, Context_.Settings.MaxTaskLease,
-                        InheritedUntil_},
+                        InheritedLeasesUntil_},
         Context_.Vms, Context_.ControlLoop, Context_.MonotonicClock, *this);
     Link->start();
   }
-  wake();
+  schedulePass();
 }
 
-void PoolOwner::checkUnlistedVms() {
+void PoolOwner::removeUnlistedVms() {
   const TimePoint Now = Context_.MonotonicClock.now();
   const auto &Listed = Context_.Directory.entries();
   for (auto Entry = Links_.begin(); Entry != Links_.end();) {
     const auto Found = Listed.find(Entry->first);
-    const bool Here =
+    const bool StillListed =
         Found != Listed.end() && Found->second.Service == Term_.Service;
     // A VM whose entry has expired may be alive: it goes when its leases have.
-    if (Here || !Entry->second->lapsedTold()) {
+    if (StillListed || !Entry->second->leaseExpiryReported()) {
       ++Entry;
       continue;
     }
     Entry->second->close();
     Scheduler_->vmRemoved(Entry->first);
-    SeenEnds_.erase(Entry->first);
+    ReceivedEnds_.erase(Entry->first);
     Context_.Events.record(EventId::VmGone, Entry->first, Term_.Service);
     Entry = Links_.erase(Entry);
   }
   // VMs of an earlier owner's records that never were listed since.
-  if (Now < InheritedUntil_)
+  if (Now < InheritedLeasesUntil_)
     return;
   for (const std::string &Vm : Scheduler_->occupiedVms())
     if (!Links_.contains(Vm))
@@ -62,16 +62,16 @@
   return Writer_->renewedAt() + VmLeaseLimit;
 }
 
-void PoolOwner::reported(VmLink &Link, const HoldAnswer &Answer,
-                         TimePoint AskedAt) {
-  SeenEnds &Seen = SeenEnds_[Link.vm()];
-  if (Seen.Incarnation != Answer.Incarnation)
-    Seen = SeenEnds{Answer.Incarnation, 0};
-  std::int64_t Last = 0;
+void PoolOwner::onReport(VmLink &Link, const HoldAnswer &Answer,
+                         TimePoint SentAt) {
+  ReceivedEnds &Received = ReceivedEnds_[Link.vm()];
+  if (Received.Incarnation != Answer.Incarnation)
+    Received = ReceivedEnds{Answer.Incarnation, 0};
+  std::int64_t LastEnd = 0;
   for (const TaskEnd &End : Answer.Ends) {
-    Last = std::max(Last, End.Number);
+    LastEnd = std::max(LastEnd, End.Number);
     // Ends are listed again until they are acknowledged.
-    if (End.Number <= Seen.Last)
+    if (End.Number <= Received.LastEnd)
       continue;
     Context_.Metrics.recordRunEnd(runEndName(End.How));
     Context_.Events.record(
@@ -79,64 +79,65 @@
         fmt::format("{} {}", Link.vm(), runEndName(End.How)));
     Scheduler_->taskEnded(Link.vm(), End);
   }
-  Seen.Last = std::max(Seen.Last, Last);
-  Scheduler_->vmReported(Link.vm(), Answer.Incarnation, Answer.Running,
-                         AskedAt);
-  if (Last > 0) {
+  Received.LastEnd = std::max(Received.LastEnd, LastEnd);
+  Scheduler_->vmReported(Link.vm(), Answer.Incarnation, Answer.Running, SentAt);
+  if (LastEnd > 0) {
     recordChanges();
     Writer_->whenCommitted([Self = shared_from_this(), Vm = Link.vm(),
-                            Incarnation = Answer.Incarnation, Last] {
-      VmLink *Target = Self->link(Vm);
+                            Incarnation = Answer.Incarnation, LastEnd] {
+      VmLink *Target = Self->findLink(Vm);
       if (!Self->Closed_ && Target != nullptr)
-        Target->acknowledge(Incarnation, Last);
+        Target->acknowledge(Incarnation, LastEnd);
     });
   }
-  wake();
+  schedulePass();
 }
 
-void PoolOwner::silent(VmLink &Link, std::string_view Why, int Tries) {
+void PoolOwner::onUnreachable(VmLink &Link, std::string_view Reason,
+                              int Attempts) {
   Context_.Events.record(EventId::VmUnreachable, Link.vm(),
-                         fmt::format("{} tries {}", Why, Tries));
+                         fmt::format("{} tries {}", Reason, Attempts));
 }
 
-void PoolOwner::answering(VmLink &Link) {
+void PoolOwner::onReachable(VmLink &Link) {
   Context_.Events.record(EventId::VmClaimed, Link.vm(), Term_.Service);
 }
 
-void PoolOwner::unanswered(VmLink &Link) { Scheduler_->vmSilent(Link.vm()); }
+void PoolOwner::onNoAnswer(VmLink &Link) { Scheduler_->vmSilent(Link.vm()); }
 
-void PoolOwner::lapsed(VmLink &Link) {
+void PoolOwner::onLeaseExpired(VmLink &Link) {
   Context_.Events.record(EventId::VmLeaseLapsed, Link.vm(), Term_.Service);
   Scheduler_->vmEmptied(Link.vm());
-  wake();
+  schedulePass();
 }
 
-void PoolOwner::fenced(VmLink &Link) {
+void PoolOwner::onFenced(VmLink &Link) {
   Context_.Events.record(EventId::VmClaimRefused, Link.vm(),
                          fmt::format("epoch {}", Term_.Epoch));
   // Later, since the link that calls is ended by it.
-  Context_.ControlLoop.post([Self = shared_from_this()] { Self->replaced(); });
+  Context_.ControlLoop.post(
+      [Self = shared_from_this()] { Self->handleReplacement(); });
 }
 
-void PoolOwner::startAnswered(VmLink &Link, const TaskRun &Run,
-                              StartOutcome Outcome, std::string_view Why) {
+void PoolOwner::onStartAnswered(VmLink &Link, const TaskRun &Run,
+                                StartOutcome Outcome, std::string_view Reason) {
   Context_.Metrics.recordRunStart(Outcome == StartOutcome::Accepted ? "accepted"
-                                                                    : Why);
+                                                                    : Reason);
   if (Outcome == StartOutcome::Accepted)
     Context_.Events.record(EventId::RunStarted, formatRun(Run), Link.vm());
   else
     Context_.Events.record(EventId::RunRefused, formatRun(Run),
-                           fmt::format("{} {}", Link.vm(), Why));
+                           fmt::format("{} {}", Link.vm(), Reason));
   Scheduler_->startAnswered(Link.vm(), Run, Outcome);
   if (Outcome != StartOutcome::Accepted)
-    wake();
+    schedulePass();
 }
 
-void PoolOwner::stopAnswered(VmLink &Link, const TaskRun &Run) {
+void PoolOwner::onStopAnswered(VmLink &Link, const TaskRun &Run) {
   Scheduler_->stopAnswered(Link.vm(), Run);
 }
 
-bool PoolOwner::wanted(const VmLink &Link, const TaskRun &Run) const {
+bool PoolOwner::isWanted(const VmLink &Link, const TaskRun &Run) const {
   return Scheduler_->wants(Link.vm(), Run);
 }
 
--- a/packages/fleet/src/VmDirectory.cpp
+++ b/packages/fleet/src/VmDirectory.cpp
@@ -5,18 +5,18 @@
 void VmDirectory::tableRead(std::vector<StoredRow> Rows) {
   Entries_.clear();
   for (const StoredRow &Row : Rows)
-    take(Row);
+    applyRow(Row);
   Known_ = true;
-  tell();
+  notifyListeners();
 }
 
 void VmDirectory::rowsChanged(std::vector<StoredRow> Rows) {
   for (const StoredRow &Row : Rows)
-    take(Row);
-  tell();
+    applyRow(Row);
+  notifyListeners();
 }
 
-void VmDirectory::take(const StoredRow &Row) {
+void VmDirectory::applyRow(const StoredRow &Row) {
   if (Row.Removed) {
     Entries_.erase(Row.Name.Key);
     return;
@@ -35,7 +35,7 @@
   return NextListener_;
 }
 
-void VmDirectory::tell() {
+void VmDirectory::notifyListeners() {
   // A listener may remove itself.
   const auto Copy = Listeners_;
   for (const auto &[Number, Listener] : Copy)
--- a/packages/fleet/src/VmLink.cpp
+++ b/packages/fleet/src/VmLink.cpp
@@ -10,31 +10,31 @@
 namespace {
 
 /// How long a VM may wait for an end before it answers a hold.
-constexpr milliseconds HoldWait{1000};
+constexpr milliseconds MaxEndWait{1000};
 /// Time for an answer beyond what the VM may wait: links and a busy VM.
-constexpr milliseconds AnswerTime{800};
+constexpr milliseconds HoldAnswerTimeout{800};
 /// Pause between holds, so that ends that come together are told together.
-constexpr milliseconds HoldPause{80};
+constexpr milliseconds HoldInterval{80};
 /// A hold is repeated after this even if the ends of the last one are not
 /// recorded yet, since the lease must go on.
-constexpr milliseconds UnrecordedPause{600};
+constexpr milliseconds UnacknowledgedHoldInterval{600};
 /// Delay before the first and the later repeats of a failed hold.
-constexpr milliseconds RetryPause{250};
+constexpr milliseconds HoldRetryDelay{250};
 /// Failures in a row after which the VM counts as silent.
-constexpr int SilentAfter = 2;
+constexpr int FailuresUntilUnreachable = 2;
 /// A lease is granted this much shorter than the VM allows, since its clock is
 /// only estimated here.
 constexpr milliseconds LeaseMargin{400};
 /// A VM's clock may run this much slow.
-constexpr double SlowClock = 0.98;
-constexpr milliseconds LapseMargin{150};
-constexpr milliseconds LapseCheck{100};
+constexpr double MinVmClockRate = 0.98;
+constexpr milliseconds LeaseExpiryMargin{150};
+constexpr milliseconds LeaseExpiryCheckInterval{100};
 constexpr milliseconds OrderTimeout{900};
 /// A start takes this long to its VM; it is not sent with a ticket that expires
 /// on the way.
 constexpr milliseconds TicketMargin{20};
-constexpr milliseconds OrderRetry{200};
-constexpr int StopTries = 6;
+constexpr milliseconds OrderRetryDelay{200};
+constexpr int MaxStopAttempts = 6;
 
 StartOutcome startOutcome(OrderOutcome Outcome) {
   switch (Outcome) {
@@ -56,10 +56,10 @@
 
 VmLink::VmLink(VmEntry Entry, Options Options, VmCalls &Calls,
                Loop &ControlLoop, const Clock &MonotonicClock,
-               VmLinkEvents &Events)
+               VmLinkListener &Listener)
     : Entry_(std::move(Entry)), Options_(Options), Calls_(Calls),
       ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
-      Events_(Events) {}
+      Listener_(Listener) {}
 
 void VmLink::start() { hold(); }
 
@@ -67,12 +67,12 @@
 
 VmTarget VmLink::target() const {
   return VmTarget{Entry_.Vm.Id, Entry_.Address, Options_.FencingToken,
-                  Unanswered_};
+                  LastOrderUnanswered_};
 }
 
-void VmLink::noteClock(milliseconds VmClock) {
+void VmLink::recordVmClock(milliseconds VmClock) {
   VmClock_ = VmClock;
-  VmClockAt_ = MonotonicClock_.now();
+  VmClockReadAt_ = MonotonicClock_.now();
 }
 
 std::optional<milliseconds> VmLink::leaseUntil() {
@@ -80,275 +80,280 @@
     return std::nullopt;
   const TimePoint Now = MonotonicClock_.now();
   const milliseconds Allowed =
-      std::chrono::duration_cast<milliseconds>(Events_.leaseLimit() - Now);
+      std::chrono::duration_cast<milliseconds>(Listener_.leaseLimit() - Now);
   const milliseconds Lease =
       std::min({Options_.MaxLease - LeaseMargin, TaskLease, Allowed});
   if (Lease.count() <= 0)
     return std::nullopt;
   const milliseconds Until =
-      *VmClock_ + std::chrono::duration_cast<milliseconds>(Now - VmClockAt_) +
-      Lease;
-  LatestLease_ = std::max(LatestLease_, Until);
+      *VmClock_ +
+      std::chrono::duration_cast<milliseconds>(Now - VmClockReadAt_) + Lease;
+  LatestLeaseEnd_ = std::max(LatestLeaseEnd_, Until);
   return Until;
 }
 
 void VmLink::hold() {
-  HoldPlanned_ = false;
-  if (Closed_ || Holding_)
+  HoldScheduled_ = false;
+  if (Closed_ || HoldInFlight_)
     return;
-  Holding_ = true;
-  LastHold_ = MonotonicClock_.now();
+  HoldInFlight_ = true;
+  LastHoldSentAt_ = MonotonicClock_.now();
   HoldOrder Order;
-  Order.AcknowledgedEnd = Acknowledged_;
+  Order.AcknowledgedEnd = AcknowledgedEnd_;
   if (Failures_ == 0 && Held_) {
     Order.LeaseUntil = leaseUntil().value_or(milliseconds(0));
-    if (LastEnd_ == Acknowledged_)
-      Order.Wait = HoldWait;
+    if (LastEnd_ == AcknowledgedEnd_)
+      Order.Wait = MaxEndWait;
   }
-  Calls_.hold(target(), Order, Order.Wait + AnswerTime,
+  Calls_.hold(target(), Order, Order.Wait + HoldAnswerTimeout,
               [Self = shared_from_this(),
-               SentAt = LastHold_](Result<HoldAnswer> Answer) {
-                Self->Holding_ = false;
-                Self->noteAnswer(Answer);
+               SentAt = LastHoldSentAt_](Result<HoldAnswer> Answer) {
+                Self->HoldInFlight_ = false;
+                Self->recordAnswered(Answer);
                 if (!Self->Closed_)
-                  Self->holdAnswered(SentAt, std::move(Answer));
+                  Self->handleHoldAnswer(SentAt, std::move(Answer));
               });
 }
 
-void VmLink::holdAnswered(TimePoint SentAt, Result<HoldAnswer> Answer) {
+void VmLink::handleHoldAnswer(TimePoint SentAt, Result<HoldAnswer> Answer) {
   if (!Answer)
-    return holdFailed(errorInfo(Answer.error().Code).Name);
+    return handleHoldFailure(errorInfo(Answer.error().Code).Name);
   switch (Answer->Outcome) {
   case OrderOutcome::Done:
-    return holdSucceeded(SentAt, *Answer);
+    return handleHoldSuccess(SentAt, *Answer);
   case OrderOutcome::Fenced:
-    return Events_.fenced(*this);
+    return Listener_.onFenced(*this);
   case OrderOutcome::OtherInstance:
     // Another VM has the address, so this one has ended.
-    holdFailed("other_instance");
-    if (!LapsedTold_)
-      tellLapsed();
+    handleHoldFailure("other_instance");
+    if (!LeaseExpiryReported_)
+      reportLeaseExpired();
     return;
   default:
-    return holdFailed(orderOutcomeName(Answer->Outcome));
+    return handleHoldFailure(orderOutcomeName(Answer->Outcome));
   }
 }
 
-void VmLink::holdSucceeded(TimePoint SentAt, const HoldAnswer &Answer) {
-  noteClock(Answer.VmClock);
+void VmLink::handleHoldSuccess(TimePoint SentAt, const HoldAnswer &Answer) {
+  recordVmClock(Answer.VmClock);
   if (Answer.Incarnation != Incarnation_) {
     Incarnation_ = Answer.Incarnation;
-    Acknowledged_ = 0;
+    AcknowledgedEnd_ = 0;
     LastEnd_ = 0;
-    LatestLease_ = milliseconds(0);
+    LatestLeaseEnd_ = milliseconds(0);
     if (Held_)
-      noteRestart();
+      handleRestart();
   }
   const bool First = !Held_ || Failures_ > 0;
-  if (!Held_ || Failures_ >= SilentAfter)
-    Events_.answering(*this);
+  if (!Held_ || Failures_ >= FailuresUntilUnreachable)
+    Listener_.onReachable(*this);
   Held_ = true;
   Failures_ = 0;
-  LapsedTold_ = false;
+  LeaseExpiryReported_ = false;
   for (const TaskEnd &End : Answer.Ends)
     LastEnd_ = std::max(LastEnd_, End.Number);
-  Events_.reported(*this, Answer, SentAt);
+  Listener_.onReport(*this, Answer, SentAt);
   if (Closed_)
     return;
   // The lease is extended by the next hold, since the clock is known now.
   if (First)
-    return holdLater(milliseconds(0));
-  holdLater(LastEnd_ > Acknowledged_ ? UnrecordedPause : HoldPause);
+    return scheduleHold(milliseconds(0));
+  scheduleHold(LastEnd_ > AcknowledgedEnd_ ? UnacknowledgedHoldInterval
+                                           : HoldInterval);
 }
 
-void VmLink::noteRestart() {
+void VmLink::handleRestart() {
   // Orders for the earlier life may reach this one, whose clock has just begun,
   // so that no lease in them is over.
-  LatestLease_ = *VmClock_ + Options_.MaxLease;
-  for (const TaskRun &Run : std::exchange(OpenStarts_, {}))
+  LatestLeaseEnd_ = *VmClock_ + Options_.MaxLease;
+  for (const TaskRun &Run : std::exchange(PendingStarts_, {}))
     stopRun(Run);
 }
 
 void VmLink::acknowledge(std::int64_t Incarnation, std::int64_t Number) {
-  if (Closed_ || Incarnation != Incarnation_ || Number <= Acknowledged_)
+  if (Closed_ || Incarnation != Incarnation_ || Number <= AcknowledgedEnd_)
     return;
-  Acknowledged_ = Number;
+  AcknowledgedEnd_ = Number;
   const auto Since = std::chrono::duration_cast<milliseconds>(
-      MonotonicClock_.now() - LastHold_);
-  HoldPlanned_ = false;
-  holdLater(std::max(HoldPause - Since, milliseconds(0)));
+      MonotonicClock_.now() - LastHoldSentAt_);
+  HoldScheduled_ = false;
+  scheduleHold(std::max(HoldInterval - Since, milliseconds(0)));
 }
 
-void VmLink::holdLater(milliseconds Delay) {
-  if (HoldPlanned_ || Holding_ || Closed_)
+void VmLink::scheduleHold(milliseconds Delay) {
+  if (HoldScheduled_ || HoldInFlight_ || Closed_)
     return;
-  HoldPlanned_ = true;
-  ControlLoop_.after(Delay, [Self = shared_from_this(), Plan = ++HoldPlan_] {
-    if (Self->HoldPlanned_ && Self->HoldPlan_ == Plan)
-      Self->hold();
-  });
+  HoldScheduled_ = true;
+  ControlLoop_.after(
+      Delay, [Self = shared_from_this(), Schedule = ++HoldSchedule_] {
+        if (Self->HoldScheduled_ && Self->HoldSchedule_ == Schedule)
+          Self->hold();
+      });
 }
 
-void VmLink::holdFailed(std::string_view Why) {
+void VmLink::handleHoldFailure(std::string_view Reason) {
   // Nothing new is placed there until it answers.
   if (++Failures_ == 1) {
-    NextSilent_ = SilentAfter;
-    Events_.unanswered(*this);
+    NextUnreachableReport_ = FailuresUntilUnreachable;
+    Listener_.onNoAnswer(*this);
   }
-  if (Failures_ == NextSilent_) {
-    NextSilent_ *= 2;
-    Events_.silent(*this, Why, Failures_);
+  if (Failures_ == NextUnreachableReport_) {
+    NextUnreachableReport_ *= 2;
+    Listener_.onUnreachable(*this, Reason, Failures_);
   }
-  if (Failures_ == SilentAfter)
-    checkLapse();
+  if (Failures_ == FailuresUntilUnreachable)
+    checkLeaseExpiry();
   if (!Closed_)
-    holdLater(Failures_ == 1 ? milliseconds(0) : RetryPause);
+    scheduleHold(Failures_ == 1 ? milliseconds(0) : HoldRetryDelay);
 }
 
-void VmLink::checkLapse() {
-  if (Closed_ || Failures_ == 0 || LapsedTold_)
+void VmLink::checkLeaseExpiry() {
+  if (Closed_ || Failures_ == 0 || LeaseExpiryReported_)
     return;
   const TimePoint Now = MonotonicClock_.now();
-  TimePoint LapsesAt = Options_.InheritedUntil;
+  TimePoint ExpiresAt = Options_.InheritedLeasesUntil;
   if (Held_)
-    LapsesAt = TimePoint{};
-  if (VmClock_ && LatestLease_ > *VmClock_)
-    LapsesAt = std::max(LapsesAt, certainlyPast(LatestLease_));
-  if (Now >= LapsesAt)
-    return tellLapsed();
-  ControlLoop_.after(LapseCheck,
-                     [Self = shared_from_this()] { Self->checkLapse(); });
+    ExpiresAt = TimePoint{};
+  if (VmClock_ && LatestLeaseEnd_ > *VmClock_)
+    ExpiresAt = std::max(ExpiresAt, whenVmClockHasPassed(LatestLeaseEnd_));
+  if (Now >= ExpiresAt)
+    return reportLeaseExpired();
+  ControlLoop_.after(LeaseExpiryCheckInterval,
+                     [Self = shared_from_this()] { Self->checkLeaseExpiry(); });
 }
 
-TimePoint VmLink::certainlyPast(milliseconds VmTime) const {
-  return VmClockAt_ +
+TimePoint VmLink::whenVmClockHasPassed(milliseconds VmTime) const {
+  return VmClockReadAt_ +
          std::chrono::duration_cast<milliseconds>((VmTime - *VmClock_) /
-                                                  SlowClock) +
-         LapseMargin;
+                                                  MinVmClockRate) +
+         LeaseExpiryMargin;
 }
 
-void VmLink::tellLapsed() {
-  LapsedTold_ = true;
-  Events_.lapsed(*this);
+void VmLink::reportLeaseExpired() {
+  LeaseExpiryReported_ = true;
+  Listener_.onLeaseExpired(*this);
 }
 
 void VmLink::startRun(const StartRun &Command, const std::string &Spec) {
   if (MonotonicClock_.now() + TicketMargin > Command.TicketUntil)
-    return Events_.startAnswered(*this, Command.Run,
-                                 StartOutcome::TicketExpired, "not_sent");
+    return Listener_.onStartAnswered(*this, Command.Run,
+                                     StartOutcome::TicketExpired, "not_sent");
   sendStart(StartOrder{Command.Run, Spec, milliseconds(0), Command.Checkpoint,
                        Command.Ticket},
             0);
 }
 
-void VmLink::sendStart(StartOrder Order, int Tries) {
+void VmLink::sendStart(StartOrder Order, int Attempts) {
   if (Closed_)
     return;
-  if (Tries == 0) {
+  if (Attempts == 0) {
     const auto Lease = leaseUntil();
-    if (!Lease || !Events_.wanted(*this, Order.Run) || !Held_ || Failures_ > 0)
-      return Events_.startAnswered(*this, Order.Run, StartOutcome::NotSent,
-                                   "vm_not_held");
+    if (!Lease || !Listener_.isWanted(*this, Order.Run) || !Held_ ||
+        Failures_ > 0)
+      return Listener_.onStartAnswered(*this, Order.Run, StartOutcome::NotSent,
+                                       "vm_not_held");
     Order.LeaseUntil = *Lease;
-    OpenStarts_.insert(Order.Run);
-    expireStart(Order);
-  } else if (!OpenStarts_.contains(Order.Run)) {
+    PendingStarts_.insert(Order.Run);
+    scheduleStartExpiry(Order);
+  } else if (!PendingStarts_.contains(Order.Run)) {
     return;
-  } else if (!Events_.wanted(*this, Order.Run)) {
+  } else if (!Listener_.isWanted(*this, Order.Run)) {
     // The stop, or the lapse of the lease, settles it.
-    OpenStarts_.erase(Order.Run);
+    PendingStarts_.erase(Order.Run);
     return;
   }
   Calls_.start(target(), Order, OrderTimeout,
                [Self = shared_from_this(), Order,
-                Tries](const Result<OrderAnswer> &Answer) {
-                 Self->noteAnswer(Answer);
+                Attempts](const Result<OrderAnswer> &Answer) {
+                 Self->recordAnswered(Answer);
                  if (!Self->Closed_)
-                   Self->startAnswered(Order, Tries, Answer);
+                   Self->handleStartAnswer(Order, Attempts, Answer);
                });
 }
 
-void VmLink::expireStart(const StartOrder &Order) {
+void VmLink::scheduleStartExpiry(const StartOrder &Order) {
   const auto Delay = std::chrono::duration_cast<milliseconds>(
-      certainlyPast(Order.LeaseUntil) - MonotonicClock_.now());
+      whenVmClockHasPassed(Order.LeaseUntil) - MonotonicClock_.now());
   ControlLoop_.after(Delay, [Self = shared_from_this(), Run = Order.Run] {
     // The VM accepts it no more. If it did, its lists tell.
-    if (!Self->Closed_ && Self->OpenStarts_.contains(Run))
-      Self->settleStart(Run, StartOutcome::OldRun, "no_certain_answer");
+    if (!Self->Closed_ && Self->PendingStarts_.contains(Run))
+      Self->completeStart(Run, StartOutcome::OldRun, "no_certain_answer");
   });
 }
 
-void VmLink::settleStart(const TaskRun &Run, StartOutcome Outcome,
-                         std::string_view Why) {
-  if (OpenStarts_.erase(Run) > 0)
-    Events_.startAnswered(*this, Run, Outcome, Why);
+void VmLink::completeStart(const TaskRun &Run, StartOutcome Outcome,
+                           std::string_view Reason) {
+  if (PendingStarts_.erase(Run) > 0)
+    Listener_.onStartAnswered(*this, Run, Outcome, Reason);
 }
 
-void VmLink::startAnswered(const StartOrder &Order, int Tries,
-                           const Result<OrderAnswer> &Answer) {
+void VmLink::handleStartAnswer(const StartOrder &Order, int Attempts,
+                               const Result<OrderAnswer> &Answer) {
   if (!Answer) {
-    if (Answer.error().Code == ErrorCode::ConnectFailed && Tries == 0)
-      return settleStart(Order.Run, StartOutcome::Refused,
-                         errorInfo(Answer.error().Code).Name);
+    if (Answer.error().Code == ErrorCode::ConnectFailed && Attempts == 0)
+      return completeStart(Order.Run, StartOutcome::Refused,
+                           errorInfo(Answer.error().Code).Name);
     // It may have been carried out, or may be later; the same run again is
     // harmless and settles it.
-    return repeatStart(Order, Tries);
+    return retryStart(Order, Attempts);
   }
   if (Answer->VmClock)
-    noteClock(*Answer->VmClock);
+    recordVmClock(*Answer->VmClock);
   if (Answer->Outcome == OrderOutcome::Fenced)
-    return Events_.fenced(*this);
+    return Listener_.onFenced(*this);
   StartOutcome Outcome = startOutcome(Answer->Outcome);
-  if (Tries > 0 && Outcome != StartOutcome::Accepted) {
+  if (Attempts > 0 && Outcome != StartOutcome::Accepted) {
     // An earlier try may have been carried out. Once the order has expired it
     // can't be any more, and the VM's lists tell; until then it is repeated.
     const bool Expired = Answer->Outcome == OrderOutcome::OldRun ||
                          Answer->Outcome == OrderOutcome::LeaseOver ||
                          Answer->Outcome == OrderOutcome::TicketExpired;
     if (!Expired && Answer->Outcome != OrderOutcome::OtherInstance)
-      return repeatStart(Order, Tries);
+      return retryStart(Order, Attempts);
     if (Expired)
       Outcome = StartOutcome::OldRun;
   }
-  settleStart(Order.Run, Outcome, orderOutcomeName(Answer->Outcome));
+  completeStart(Order.Run, Outcome, orderOutcomeName(Answer->Outcome));
 }
 
-void VmLink::repeatStart(const StartOrder &Order, int Tries) {
-  ControlLoop_.after(OrderRetry, [Self = shared_from_this(), Order, Tries] {
-    Self->sendStart(Order, Tries + 1);
-  });
+void VmLink::retryStart(const StartOrder &Order, int Attempts) {
+  ControlLoop_.after(OrderRetryDelay,
+                     [Self = shared_from_this(), Order, Attempts] {
+                       Self->sendStart(Order, Attempts + 1);
+                     });
 }
 
 bool VmLink::stopRun(const TaskRun &Run) {
-  if (!OpenStops_.insert(Run).second)
+  if (!PendingStops_.insert(Run).second)
     return false;
   sendStop(Run, 0);
   return true;
 }
 
-void VmLink::sendStop(const TaskRun &Run, int Tries) {
+void VmLink::sendStop(const TaskRun &Run, int Attempts) {
   if (Closed_)
     return;
   Calls_.stop(target(), Run, OrderTimeout,
               [Self = shared_from_this(), Run,
-               Tries](const Result<OrderAnswer> &Answer) {
+               Attempts](const Result<OrderAnswer> &Answer) {
                 if (Self->Closed_)
                   return;
-                Self->noteAnswer(Answer);
+                Self->recordAnswered(Answer);
                 if (Answer && Answer->Outcome == OrderOutcome::Fenced)
-                  return Self->Events_.fenced(*Self);
+                  return Self->Listener_.onFenced(*Self);
                 if (Answer && Answer->Outcome != OrderOutcome::Unhealthy) {
-                  Self->OpenStops_.erase(Run);
-                  return Self->Events_.stopAnswered(*Self, Run);
+                  Self->PendingStops_.erase(Run);
+                  return Self->Listener_.onStopAnswered(*Self, Run);
                 }
                 // Asked for again while the VM lists the run.
-                if (Tries + 1 >= StopTries) {
-                  Self->OpenStops_.erase(Run);
+                if (Attempts + 1 >= MaxStopAttempts) {
+                  Self->PendingStops_.erase(Run);
                   return;
                 }
-                Self->ControlLoop_.after(OrderRetry, [Self, Run, Tries] {
-                  Self->sendStop(Run, Tries + 1);
-                });
+                Self->ControlLoop_.after(OrderRetryDelay,
+                                         [Self, Run, Attempts] {
+                                           Self->sendStop(Run, Attempts + 1);
+                                         });
               });
 }
 
@@ -357,7 +362,7 @@
               [Self = shared_from_this()](const Result<OrderAnswer> &Answer) {
                 if (!Self->Closed_ && Answer &&
                     Answer->Outcome == OrderOutcome::Fenced)
-                  Self->Events_.fenced(*Self);
+                  Self->Listener_.onFenced(*Self);
               });
 }
 
--- a/packages/fleet/tests/AdviceDispatcherTest.cpp
+++ b/packages/fleet/tests/AdviceDispatcherTest.cpp
@@ -10,23 +10,23 @@
 namespace {
 
 /// Fails while it is away; names all VMs otherwise.
-class MoodyAdvisor final : public PlacementAdvisor {
+class FlakyAdvisor final : public PlacementAdvisor {
 public:
-  explicit MoodyAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
+  explicit FlakyAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
   void advise(const StepName &Step, std::span<const std::string> Vms,
               milliseconds, Done Done) override {
     ++Calls;
-    if (Away) {
+    if (Failing) {
       ControlLoop_.after(milliseconds(20),
                          [Done] { Done(failure(ErrorCode::ConnectFailed)); });
       return;
     }
-    std::vector<AdviceTicket> Good;
+    std::vector<AdviceTicket> Allowed;
     for (const std::string &Vm : Vms)
-      Good.push_back(AdviceTicket{Vm, Step.Job});
-    ControlLoop_.after(milliseconds(20), [Good, Done] { Done(Good); });
+      Allowed.push_back(AdviceTicket{Vm, Step.Job});
+    ControlLoop_.after(milliseconds(20), [Allowed, Done] { Done(Allowed); });
   }
-  bool Away = false;
+  bool Failing = false;
   int Calls = 0;
 
 private:
@@ -35,31 +35,31 @@
 
 struct Fixture {
   Fixture() : Advisor(ControlLoop), Peers(Http) {
-    Desk = std::make_shared<AdviceDispatcher>(
+    Dispatcher = std::make_shared<AdviceDispatcher>(
         Advisor, Peers, ControlLoop, ControlLoop.Time, "self",
         [this](const StepName &) { return Needed; },
         [this](const StepName &Step,
                const Result<AdviceDispatcher::Answer> &Answer) {
           if (Answer)
-            AnsweredAt = ControlLoop.Time.now();
+            AnswerReceivedAt = ControlLoop.Time.now();
           else
-            Desk->ask(question(Step));
+            Dispatcher->requestAdvice(adviceRequest(Step));
           LastAsked = Answer ? Answer->Asked.size() : 0;
         });
   }
-  ~Fixture() { Desk->close(); }
+  ~Fixture() { Dispatcher->close(); }
 
-  static AskAdvice question(const StepName &Step) {
+  static AskAdvice adviceRequest(const StepName &Step) {
     return AskAdvice{Step, {"vm1", "vm2"}, 20, 0, false};
   }
 
   FakeLoop ControlLoop;
-  MoodyAdvisor Advisor;
-  NoHttp Http;
+  FlakyAdvisor Advisor;
+  FailingHttpClient Http;
   PeerCalls Peers;
-  std::shared_ptr<AdviceDispatcher> Desk;
+  std::shared_ptr<AdviceDispatcher> Dispatcher;
   bool Needed = true;
-  std::optional<TimePoint> AnsweredAt;
+  std::optional<TimePoint> AnswerReceivedAt;
   std::size_t LastAsked = 0;
 };
 
@@ -70,36 +70,37 @@
 BOOST_AUTO_TEST_CASE(answersSoonAfterTheAdvisorIsBack) {
   // Found as a step that got no advice for 8.8 s after a cut of 5 s: the pause
   // after failures had doubled to 8 s for every daemon.
-  for (int AwayMs = 1000; AwayMs <= 12000; AwayMs += 500) {
-    Fixture Trial;
-    Trial.Desk->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
-    Trial.Advisor.Away = true;
-    Trial.Desk->ask(Fixture::question(Step));
-    Trial.ControlLoop.runFor(milliseconds(AwayMs));
-    BOOST_CHECK(!Trial.AnsweredAt);
-    Trial.Advisor.Away = false;
-    const TimePoint Back = Trial.ControlLoop.Time.now();
-    Trial.ControlLoop.runFor(milliseconds(12000));
-    BOOST_REQUIRE_MESSAGE(Trial.AnsweredAt, AwayMs << " ms away");
-    BOOST_CHECK_MESSAGE(*Trial.AnsweredAt - Back <= milliseconds(2000),
-                        AwayMs << " ms away");
+  for (int OutageMs = 1000; OutageMs <= 12000; OutageMs += 500) {
+    Fixture Setup;
+    Setup.Dispatcher->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
+    Setup.Advisor.Failing = true;
+    Setup.Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
+    Setup.ControlLoop.runFor(milliseconds(OutageMs));
+    BOOST_CHECK(!Setup.AnswerReceivedAt);
+    Setup.Advisor.Failing = false;
+    const TimePoint RecoveredAt = Setup.ControlLoop.Time.now();
+    Setup.ControlLoop.runFor(milliseconds(12000));
+    BOOST_REQUIRE_MESSAGE(Setup.AnswerReceivedAt, OutageMs << " ms away");
+    BOOST_CHECK_MESSAGE(*Setup.AnswerReceivedAt - RecoveredAt <=
+                            milliseconds(2000),
+                        OutageMs << " ms away");
   }
 }
 
 BOOST_FIXTURE_TEST_CASE(droppedQuestionIsAnsweredWithNothing, Fixture) {
   Needed = false;
-  Desk->ask(Fixture::question(Step));
+  Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
   ControlLoop.runFor(milliseconds(1000));
-  BOOST_CHECK(AnsweredAt);
+  BOOST_CHECK(AnswerReceivedAt);
   BOOST_CHECK_EQUAL(LastAsked, 0);
   BOOST_CHECK_EQUAL(Advisor.Calls, 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(failedPeerIsReplacedByAnother, Fixture) {
   // All calls to peers fail at once.
-  Desk->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
-  Desk->ask(Fixture::question(Step));
+  Dispatcher->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
+  Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
   ControlLoop.runFor(milliseconds(1000));
-  BOOST_REQUIRE(AnsweredAt);
+  BOOST_REQUIRE(AnswerReceivedAt);
   BOOST_CHECK_EQUAL(LastAsked, 2);
 }
--- a/packages/fleet/tests/JobFrontendTest.cpp
+++ b/packages/fleet/tests/JobFrontendTest.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr milliseconds Patience{3000};
+constexpr milliseconds CallerTimeout{3000};
 
-class OneOwner final : public OwnerLookup {
+class StubOwnerLookup final : public OwnerLookup {
 public:
   const OwnerRow *ownerOf(std::string_view) const override {
     return Known ? &Row : nullptr;
@@ -33,9 +33,9 @@
             Settings, Self,  ControlLoop.Time, SystemClock, Events, ControlLoop,
             Store,    Calls, Advisor,          Peers,       Queues, Directory,
             Metrics},
-        Door(Context, Pools, Owners) {
+        Frontend(Context, Pools, Owners) {
     Queue.Name = "q";
-    Queue.Service = TrialService;
+    Queue.Service = TestService;
     // The store has answered before.
     ControlLoop.runFor(milliseconds(1000));
   }
@@ -45,36 +45,37 @@
     Plan.Id = Id;
     StepPlan Step;
     Step.Tasks = 1;
-    Step.PerTask = TrialTask;
+    Step.PerTask = TestTaskSize;
     Plan.Steps.push_back(Step);
-    const TimePoint Began = ControlLoop.Time.now();
-    Door.submit(Queue, Plan, Patience, [this, Id, Began](SubmitReply Reply) {
-      ++Replies;
-      Last = Reply;
-      Took = std::chrono::duration_cast<milliseconds>(ControlLoop.Time.now() -
-                                                      Began);
-    });
+    const TimePoint SubmittedAt = ControlLoop.Time.now();
+    Frontend.submit(Queue, Plan, CallerTimeout,
+                    [this, Id, SubmittedAt](SubmitReply Reply) {
+                      ++Replies;
+                      LastReply = Reply;
+                      ReplyTime = std::chrono::duration_cast<milliseconds>(
+                          ControlLoop.Time.now() - SubmittedAt);
+                    });
   }
-  bool written(const std::string &Id) const {
+  bool isWritten(const std::string &Id) const {
     return Rows.find(requestRow(Id)) != nullptr;
   }
   std::optional<bool> cancel(const std::string &Id) {
     std::optional<bool> Out;
-    Door.cancel(Id, Patience,
-                [&Out](QueryResult<bool> Answer) { Out = Answer.Value; });
-    ControlLoop.runFor(2 * Patience);
+    Frontend.cancel(Id, CallerTimeout,
+                    [&Out](QueryResult<bool> Answer) { Out = Answer.Value; });
+    ControlLoop.runFor(2 * CallerTimeout);
     return Out;
   }
   std::optional<std::optional<JobStage>> stage(const std::string &Id) {
     std::optional<std::optional<JobStage>> Out;
-    Door.stage(Queue, Id, Patience,
-               [&Out](QueryResult<std::optional<JobStage>> Answer) {
-                 Out = Answer.Value;
-               });
-    ControlLoop.runFor(2 * Patience);
+    Frontend.stage(Queue, Id, CallerTimeout,
+                   [&Out](QueryResult<std::optional<JobStage>> Answer) {
+                     Out = Answer.Value;
+                   });
+    ControlLoop.runFor(2 * CallerTimeout);
     return Out;
   }
-  void storeIs(StoreFate Fate) {
+  void setStoreFate(StoreFate Fate) {
     Store.Decide = [Fate] { return Fate; };
   }
 
@@ -87,69 +88,69 @@
   FleetSettings Settings;
   EventLog Events;
   SystemWallClock SystemClock;
-  NoHttp Http;
+  FailingHttpClient Http;
   PeerCalls Peers;
-  YesAdvisor Advisor;
-  CountFormats Formats;
+  AllowAllAdvisor Advisor;
+  TestFormats Formats;
   QueueRegistry Queues;
   VmDirectory Directory;
   FleetMetrics Metrics;
   FleetContext Context;
   NoOwnedPools Pools;
-  OneOwner Owners;
-  JobFrontend Door;
+  StubOwnerLookup Owners;
+  JobFrontend Frontend;
   QueueTerms Queue;
   int Replies = 0;
-  SubmitReply Last;
-  milliseconds Took{0};
+  SubmitReply LastReply;
+  milliseconds ReplyTime{0};
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_CASE(sameJobTwiceIsOneJob, Fixture) {
   submit("j");
-  ControlLoop.runFor(Patience);
-  BOOST_REQUIRE(written("j"));
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_REQUIRE(isWritten("j"));
   const std::int64_t Version = Rows.find(requestRow("j"))->Version;
   submit("j");
-  ControlLoop.runFor(Patience);
+  ControlLoop.runFor(CallerTimeout);
   BOOST_CHECK_EQUAL(Replies, 2);
-  BOOST_CHECK(Last.Outcome == SubmitOutcome::Accepted);
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
   BOOST_CHECK_EQUAL(Rows.find(requestRow("j"))->Version, Version);
 }
 
 BOOST_FIXTURE_TEST_CASE(refusedJobIsNeverWritten, Fixture) {
-  storeIs({StoreFate::Refused, {}});
+  setStoreFate({StoreFate::Refused, {}});
   submit("j");
-  ControlLoop.runFor(Patience);
+  ControlLoop.runFor(CallerTimeout);
   BOOST_REQUIRE_EQUAL(Replies, 1);
-  BOOST_CHECK(Last.Outcome == SubmitOutcome::NotAccepted);
-  BOOST_CHECK(Last.RetryAfter > milliseconds(0));
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::NotAccepted);
+  BOOST_CHECK(LastReply.RetryAfter > milliseconds(0));
   // A caller who is refused is told so soon.
-  BOOST_CHECK(Took < Patience / 2);
-  storeIs({StoreFate::Answered, {}});
-  ControlLoop.runFor(4 * Patience);
-  BOOST_CHECK(!written("j"));
+  BOOST_CHECK(ReplyTime < CallerTimeout / 2);
+  setStoreFate({StoreFate::Answered, {}});
+  ControlLoop.runFor(4 * CallerTimeout);
+  BOOST_CHECK(!isWritten("j"));
 }
 
 BOOST_FIXTURE_TEST_CASE(blipOfTheStoreIsNotSeen, Fixture) {
-  storeIs({StoreFate::Refused, {}});
+  setStoreFate({StoreFate::Refused, {}});
   submit("j");
   ControlLoop.runFor(milliseconds(200));
-  storeIs({StoreFate::Answered, {}});
-  ControlLoop.runFor(Patience);
-  BOOST_CHECK(Last.Outcome == SubmitOutcome::Accepted);
-  BOOST_CHECK(written("j"));
+  setStoreFate({StoreFate::Answered, {}});
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
+  BOOST_CHECK(isWritten("j"));
 }
 
 BOOST_FIXTURE_TEST_CASE(lostAnswerIsAskedForAgain, Fixture) {
-  storeIs({StoreFate::LostAfter, {}});
+  setStoreFate({StoreFate::LostAfter, {}});
   submit("j");
   ControlLoop.runFor(milliseconds(100));
-  storeIs({StoreFate::Answered, {}});
-  ControlLoop.runFor(Patience);
+  setStoreFate({StoreFate::Answered, {}});
+  ControlLoop.runFor(CallerTimeout);
   BOOST_CHECK_EQUAL(Replies, 1);
-  BOOST_CHECK(Last.Outcome == SubmitOutcome::Accepted);
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
 }
 
 BOOST_FIXTURE_TEST_CASE(whatMayBeWrittenIsNotCalledRefused, Fixture) {
@@ -160,29 +161,29 @@
                         : StoreFate{StoreFate::Refused, {}};
   };
   submit("j");
-  ControlLoop.runFor(2 * Patience);
+  ControlLoop.runFor(2 * CallerTimeout);
   BOOST_REQUIRE_EQUAL(Replies, 1);
-  BOOST_CHECK(Last.Outcome == SubmitOutcome::Unknown);
-  BOOST_CHECK(Took <= Patience);
-  BOOST_CHECK(written("j"));
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Unknown);
+  BOOST_CHECK(ReplyTime <= CallerTimeout);
+  BOOST_CHECK(isWritten("j"));
 }
 
 BOOST_AUTO_TEST_CASE(answersAreTrueWhateverTheStoreDoes) {
   for (unsigned Seed = 1; Seed <= 400; ++Seed) {
-    Fixture Trial;
+    Fixture Setup;
     std::mt19937 Random(Seed);
-    Trial.Store.Decide = [&Random] {
+    Setup.Store.Decide = [&Random] {
       const auto Kind = static_cast<StoreFate::Kind>(Random() % 5);
       return StoreFate{Kind, milliseconds(Random() % 5000)};
     };
-    Trial.submit("j");
-    Trial.ControlLoop.runFor(4 * Patience);
-    BOOST_REQUIRE_MESSAGE(Trial.Replies == 1, "seed " << Seed);
-    BOOST_CHECK_MESSAGE(Trial.Took <= Patience, "seed " << Seed);
-    const bool Written = Trial.written("j");
-    if (Trial.Last.Outcome == SubmitOutcome::Accepted)
+    Setup.submit("j");
+    Setup.ControlLoop.runFor(4 * CallerTimeout);
+    BOOST_REQUIRE_MESSAGE(Setup.Replies == 1, "seed " << Seed);
+    BOOST_CHECK_MESSAGE(Setup.ReplyTime <= CallerTimeout, "seed " << Seed);
+    const bool Written = Setup.isWritten("j");
+    if (Setup.LastReply.Outcome == SubmitOutcome::Accepted)
       BOOST_CHECK_MESSAGE(Written, "seed " << Seed);
-    if (Trial.Last.Outcome == SubmitOutcome::NotAccepted)
+    if (Setup.LastReply.Outcome == SubmitOutcome::NotAccepted)
       BOOST_CHECK_MESSAGE(!Written, "seed " << Seed);
   }
 }
@@ -191,7 +192,7 @@
   BOOST_CHECK(cancel("j") == std::optional<bool>(false));
   BOOST_CHECK(Rows.find(cancelRow("j")) == nullptr);
   submit("j");
-  ControlLoop.runFor(Patience);
+  ControlLoop.runFor(CallerTimeout);
   BOOST_CHECK(cancel("j") == std::optional<bool>(true));
   BOOST_REQUIRE(Rows.find(cancelRow("j")) != nullptr);
   const std::int64_t Version = Rows.find(cancelRow("j"))->Version;
@@ -201,8 +202,8 @@
 
 BOOST_FIXTURE_TEST_CASE(cancellingWithoutTheStoreIsUnknown, Fixture) {
   submit("j");
-  ControlLoop.runFor(Patience);
-  storeIs({StoreFate::Refused, {}});
+  ControlLoop.runFor(CallerTimeout);
+  setStoreFate({StoreFate::Refused, {}});
   BOOST_CHECK(cancel("j") == std::nullopt);
 }
 
@@ -210,7 +211,7 @@
   BOOST_CHECK(stage("j") ==
               std::optional<std::optional<JobStage>>(std::in_place));
   submit("j");
-  ControlLoop.runFor(Patience);
+  ControlLoop.runFor(CallerTimeout);
   BOOST_CHECK(stage("j") == std::optional(std::optional(JobStage::Queued)));
   // An owner who can't be reached makes no difference.
   Owners.Known = true;
@@ -219,10 +220,10 @@
   Progress.Stage = JobStage::Completed;
   RowTransaction Change;
   Change.Puts.push_back(
-      RowPut{progressRow(TrialService, "j"), encodeProgress(Progress)});
+      RowPut{progressRow(TestService, "j"), encodeProgress(Progress)});
   Rows.apply(Change);
   BOOST_CHECK(stage("j") == std::optional(std::optional(JobStage::Completed)));
-  storeIs({StoreFate::Refused, {}});
+  setStoreFate({StoreFate::Refused, {}});
   BOOST_CHECK(stage("j") == std::nullopt);
 }
 
@@ -231,9 +232,10 @@
     Owners.Known = Known;
     Owners.Row.PeerAddress = "b:1";
     std::optional<int> Count(7);
-    Door.pending(Queue, Patience,
-                 [&Count](QueryResult<int> Answer) { Count = Answer.Value; });
-    ControlLoop.runFor(Patience);
+    Frontend.pending(Queue, CallerTimeout, [&Count](QueryResult<int> Answer) {
+      Count = Answer.Value;
+    });
+    ControlLoop.runFor(CallerTimeout);
     BOOST_CHECK(!Count);
   }
 }
--- a/packages/fleet/tests/PoolTestSupport.cpp
+++ b/packages/fleet/tests/PoolTestSupport.cpp
@@ -6,33 +6,34 @@
 
 namespace cuminroad {
 
-void YesAdvisor::advise(const StepName &Step, std::span<const std::string> Vms,
-                        milliseconds, Done Done) {
-  std::vector<AdviceTicket> Good;
+void AllowAllAdvisor::advise(const StepName &Step,
+                             std::span<const std::string> Vms, milliseconds,
+                             Done Done) {
+  std::vector<AdviceTicket> Allowed;
   for (const std::string &Vm : Vms)
-    Good.push_back(AdviceTicket{Vm, Step.Job});
+    Allowed.push_back(AdviceTicket{Vm, Step.Job});
   // One call in a few is slow, so that others wait behind it.
-  const milliseconds Takes(++Calls_ % 4 == 0 ? 300 : 20);
-  ControlLoop_.after(Takes, [Good, Done] { Done(Good); });
+  const milliseconds Delay(++Calls_ % 4 == 0 ? 300 : 20);
+  ControlLoop_.after(Delay, [Allowed, Done] { Done(Allowed); });
 }
 
-Result<VmEntry> CountFormats::decodeVm(std::string_view Key,
-                                       std::string_view Bytes) const {
+Result<VmEntry> TestFormats::decodeVm(std::string_view Key,
+                                      std::string_view Bytes) const {
   int Tasks = 0;
   if (std::from_chars(Bytes.data(), Bytes.data() + Bytes.size(), Tasks).ec !=
       std::errc{})
     return failure(ErrorCode::MalformedInput);
   VmEntry Out;
   Out.Vm.Id = Key;
-  Out.Vm.Total = TrialTask * Tasks;
+  Out.Vm.Total = TestTaskSize * Tasks;
   Out.Vm.Born = 1;
-  Out.Service = TrialService;
+  Out.Service = TestService;
   Out.Address = std::string(Key) + ":1";
   return Out;
 }
 
-TrialDaemon::TrialDaemon(std::string Name, FakeLoop &ControlLoop,
-                         FakeRows &Rows, FakeVms &Vms, const QueueTerms &Queue)
+TestDaemon::TestDaemon(std::string Name, FakeLoop &ControlLoop, FakeRows &Rows,
+                       FakeVms &Vms, const QueueTerms &Queue)
     : Store(Rows, ControlLoop), Calls(Vms, ControlLoop), Name_(std::move(Name)),
       ControlLoop_(ControlLoop), Events_(Name_, 100, nullptr), Peers_(Http_),
       Advisor_(ControlLoop), Directory_(Formats_, Events_),
@@ -45,29 +46,30 @@
   Config.Version = 1;
   Config.Routes.push_back(QueueRoute{"h", "/q/", milliseconds(3000), Queue});
   Queues_.apply(Config);
-  begin();
+  start();
 }
 
-TrialDaemon::~TrialDaemon() { kill(); }
+TestDaemon::~TestDaemon() { kill(); }
 
-void TrialDaemon::begin() {
-  Self_ = DaemonIdentity{Name_, fmt::format("{}-{}", Name_, ++Lives_), "d",
-                         Name_ + ":1", 1.0};
+void TestDaemon::start() {
+  Self_ =
+      DaemonIdentity{Name_, fmt::format("{}-{}", Name_, ++IncarnationCount_),
+                     "d", Name_ + ":1", 1.0};
   Lease_ =
       std::make_shared<PoolLease>(Store, ControlLoop_, ControlLoop_.Time,
-                                  Events_, Self_, std::string(TrialService));
-  Lease_->OnTaken = [this](const PoolTerm &Term) {
+                                  Events_, Self_, std::string(TestService));
+  Lease_->OnAcquired = [this](const PoolTerm &Term) {
     Owner_ = std::make_shared<PoolOwner>(Context_, Term);
     Owner_->OnReplaced = [this] {
       Owner_.reset();
-      Lease_->lost();
+      Lease_->resumeStandby();
     };
     Owner_->start();
   };
   Lease_->start();
 }
 
-void TrialDaemon::kill() {
+void TestDaemon::kill() {
   if (Lease_)
     Lease_->stop();
   if (Owner_)
@@ -76,12 +78,12 @@
   Lease_.reset();
 }
 
-void TrialDaemon::restart() {
+void TestDaemon::restart() {
   kill();
-  begin();
+  start();
 }
 
-void TrialDaemon::listVms(const std::vector<StoredRow> &Rows) {
+void TestDaemon::listVms(const std::vector<StoredRow> &Rows) {
   Directory_.tableRead(Rows);
 }
 
--- a/packages/fleet/tests/PoolTestSupport.h
+++ b/packages/fleet/tests/PoolTestSupport.h
@@ -15,7 +15,7 @@
 namespace cuminroad {
 
 /// An HTTP client whose calls all fail at once.
-class NoHttp final : public HttpClient {
+class FailingHttpClient final : public HttpClient {
 public:
   void send(HttpCall, HttpCallback Done) override {
     Done(failure(ErrorCode::ConnectFailed));
@@ -35,9 +35,9 @@
 };
 
 /// Names every VM as good, after a while.
-class YesAdvisor final : public PlacementAdvisor {
+class AllowAllAdvisor final : public PlacementAdvisor {
 public:
-  explicit YesAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
+  explicit AllowAllAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
   void advise(const StepName &, std::span<const std::string> Vms, milliseconds,
               Done Done) override;
 
@@ -47,7 +47,7 @@
 };
 
 /// A VM's entry is the number of tasks that it has room for.
-class CountFormats final : public PlatformFormats {
+class TestFormats final : public PlatformFormats {
 public:
   std::string configTable() const override { return "op"; }
   std::string configKey() const override { return "config"; }
@@ -59,16 +59,16 @@
                            std::string_view Bytes) const override;
 };
 
-inline constexpr std::string_view TrialService = "pool";
+inline constexpr std::string_view TestService = "pool";
 /// Size of the trial's tasks; a VM has room for a few of them.
-inline constexpr Capacity TrialTask{1000, 100, 0};
+inline constexpr Capacity TestTaskSize{1000, 100, 0};
 
 /// A daemon that may own the trial's pool, without ports and peers.
-class TrialDaemon {
+class TestDaemon {
 public:
-  TrialDaemon(std::string Name, FakeLoop &ControlLoop, FakeRows &Rows,
-              FakeVms &Vms, const QueueTerms &Queue);
-  ~TrialDaemon();
+  TestDaemon(std::string Name, FakeLoop &ControlLoop, FakeRows &Rows,
+             FakeVms &Vms, const QueueTerms &Queue);
+  ~TestDaemon();
 
   /// The process ends without a word, and another life of it begins.
   void restart();
@@ -82,19 +82,19 @@
   FakeVmCalls Calls;
 
 private:
-  void begin();
+  void start();
 
   std::string Name_;
   FakeLoop &ControlLoop_;
-  int Lives_ = 0;
+  int IncarnationCount_ = 0;
   DaemonIdentity Self_;
   FleetSettings Settings_;
   EventLog Events_;
   SystemWallClock SystemClock_;
-  NoHttp Http_;
+  FailingHttpClient Http_;
   PeerCalls Peers_;
-  YesAdvisor Advisor_;
-  CountFormats Formats_;
+  AllowAllAdvisor Advisor_;
+  TestFormats Formats_;
   QueueRegistry Queues_;
   VmDirectory Directory_;
   FleetMetrics Metrics_;
--- a/packages/fleet/tests/TakeoverTest.cpp
+++ b/packages/fleet/tests/TakeoverTest.cpp
@@ -17,10 +17,10 @@
 constexpr int VmCount = 4;
 constexpr int TasksPerVm = 3;
 
-QueueTerms trialQueue(bool Advised) {
+QueueTerms testQueue(bool Advised) {
   QueueTerms Out;
   Out.Name = "q";
-  Out.Service = TrialService;
+  Out.Service = TestService;
   Out.Attempts = 3;
   if (Advised)
     Out.Advice = AdviceTerms{milliseconds(20), 0.1, milliseconds(2000)};
@@ -30,13 +30,13 @@
 JobRequest makeJob(int Number, std::mt19937 &Random) {
   JobRequest Out;
   Out.Queue = "q";
-  Out.Service = TrialService;
+  Out.Service = TestService;
   Out.Plan.Id = fmt::format(
       "{:016x}", 0x1111111111111111ULL * static_cast<unsigned>(Number % 16) +
                      static_cast<unsigned>(Number));
   StepPlan Step;
   Step.Tasks = 1 + static_cast<int>(Random() % 4);
-  Step.PerTask = TrialTask;
+  Step.PerTask = TestTaskSize;
   Step.Estimate = milliseconds(300);
   Out.Plan.Steps.push_back(Step);
   Step.After = {0};
@@ -45,18 +45,18 @@
 }
 
 /// What may go wrong in a trial, and for how much of it.
-struct TrialFaults {
+struct ScenarioFaults {
   bool Store = false;
   bool Orders = false;
-  bool Kills = false;
-  bool Cuts = false;
+  bool DaemonRestarts = false;
+  bool VmCuts = false;
   /// The owner loses the store, and the other daemon some of the VMs.
-  bool Splits = false;
+  bool SplitReachability = false;
 };
 
-class Trial {
+class Scenario {
 public:
-  Trial(unsigned Seed, TrialFaults Faults)
+  Scenario(unsigned Seed, ScenarioFaults Faults)
       : Random_(Seed), Faults_(Faults), Vms_(ControlLoop_) {
     for (int Number = 0; Number < VmCount; ++Number) {
       const std::string Id = fmt::format("vm{}", Number);
@@ -65,13 +65,13 @@
                                    std::to_string(TasksPerVm), 1, false});
     }
     Vms_.Plan = [this](const TaskRun &) {
-      const unsigned Longest = Faults_.Splits ? 6000 : 900;
+      const unsigned Longest = Faults_.SplitReachability ? 6000 : 900;
       return std::pair{milliseconds(100 + Random_() % Longest),
                        Random_() % 12 == 0 ? RunEnd::Failed : RunEnd::Done};
     };
     for (const char *Name : {"a", "b"}) {
-      auto Daemon = std::make_unique<TrialDaemon>(
-          Name, ControlLoop_, Rows_, Vms_, trialQueue(Seed % 2 == 0));
+      auto Daemon = std::make_unique<TestDaemon>(
+          Name, ControlLoop_, Rows_, Vms_, testQueue(Seed % 2 == 0));
       Daemon->listVms(Entries_);
       Daemons_.push_back(std::move(Daemon));
     }
@@ -83,13 +83,14 @@
     ControlLoop_.runFor(milliseconds(3000));
     for (int Step = 0; Step < 60; ++Step) {
       submit(Step);
-      disturb();
+      injectRandomEvents();
       ControlLoop_.runFor(milliseconds(100 + Random_() % 300));
     }
-    Calm_ = true;
-    Cut_.clear();
+    FaultsOver_ = true;
+    UnreachableVms_.clear();
     // Long enough for all the work that is left.
-    ControlLoop_.runFor(milliseconds(Faults_.Splits ? 150000 : 60000));
+    ControlLoop_.runFor(
+        milliseconds(Faults_.SplitReachability ? 150000 : 60000));
   }
 
   void check() {
@@ -122,11 +123,11 @@
 
 private:
   void injectFaults(std::size_t Index) {
-    TrialDaemon &Daemon = *Daemons_[Index];
+    TestDaemon &Daemon = *Daemons_[Index];
     Daemon.Store.Decide = [this, Index] {
-      if (!Calm_ && StoreCut_ == static_cast<int>(Index))
+      if (!FaultsOver_ && DaemonWithoutStore_ == static_cast<int>(Index))
         return StoreFate{StoreFate::Refused, {}};
-      if (Calm_ || !Faults_.Store)
+      if (FaultsOver_ || !Faults_.Store)
         return StoreFate{};
       switch (Random_() % 25) {
       case 0:
@@ -138,9 +139,9 @@
       }
     };
     Daemon.Calls.Decide = [this, Index](const std::string &Vm) {
-      if (Cut_.contains({Index, Vm}))
+      if (UnreachableVms_.contains({Index, Vm}))
         return OrderFate{OrderFate::Lost, {}};
-      if (Calm_ || !Faults_.Orders)
+      if (FaultsOver_ || !Faults_.Orders)
         return OrderFate{};
       switch (Random_() % 25) {
       case 0:
@@ -164,27 +165,27 @@
     Jobs_[Request.Plan.Id] = Request.Plan;
   }
 
-  void disturb() {
-    if (Faults_.Kills && Random_() % 12 == 0)
+  void injectRandomEvents() {
+    if (Faults_.DaemonRestarts && Random_() % 12 == 0)
       Daemons_[Random_() % Daemons_.size()]->restart();
     if (Faults_.Store && Random_() % 10 == 0)
-      StoreCut_ = static_cast<int>(Random_() % 4);
-    if (Faults_.Cuts && Random_() % 6 == 0)
-      Cut_.insert({Random_() % Daemons_.size(),
-                   fmt::format("vm{}", Random_() % VmCount)});
-    if (Faults_.Splits && Random_() % 10 == 0)
-      split();
+      DaemonWithoutStore_ = static_cast<int>(Random_() % 4);
+    if (Faults_.VmCuts && Random_() % 6 == 0)
+      UnreachableVms_.insert({Random_() % Daemons_.size(),
+                              fmt::format("vm{}", Random_() % VmCount)});
+    if (Faults_.SplitReachability && Random_() % 10 == 0)
+      splitReachability();
     if (Random_() % 40 == 0)
-      Cut_.clear();
+      UnreachableVms_.clear();
   }
 
-  void split() {
+  void splitReachability() {
     for (std::size_t Index = 0; Index < Daemons_.size(); ++Index)
       if (Daemons_[Index]->owns())
-        StoreCut_ = static_cast<int>(Index);
-    Cut_.clear();
+        DaemonWithoutStore_ = static_cast<int>(Index);
+    UnreachableVms_.clear();
     for (const char *Vm : {"vm0", "vm1"})
-      Cut_.insert({StoreCut_ == 0 ? 1U : 0U, Vm});
+      UnreachableVms_.insert({DaemonWithoutStore_ == 0 ? 1U : 0U, Vm});
   }
 
   bool firstStepDone(const std::string &Job, TimePoint Before) const {
@@ -197,7 +198,7 @@
   }
 
   void checkJob(const std::string &Job, const JobPlan &Plan) const {
-    const StoredRow *Row = Rows_.find(progressRow(TrialService, Job));
+    const StoredRow *Row = Rows_.find(progressRow(TestService, Job));
     BOOST_REQUIRE_MESSAGE(Row != nullptr, "never begun: " << Job);
     const auto Progress = decodeProgress(Row->Value);
     BOOST_REQUIRE(Progress);
@@ -213,52 +214,52 @@
   }
 
   std::mt19937 Random_;
-  TrialFaults Faults_;
+  ScenarioFaults Faults_;
   FakeLoop ControlLoop_;
   FakeRows Rows_;
   FakeVms Vms_;
   std::vector<StoredRow> Entries_;
-  std::vector<std::unique_ptr<TrialDaemon>> Daemons_;
+  std::vector<std::unique_ptr<TestDaemon>> Daemons_;
   std::map<std::string, JobPlan> Jobs_;
-  std::set<std::pair<std::size_t, std::string>> Cut_;
-  int StoreCut_ = -1;
-  bool Calm_ = false;
+  std::set<std::pair<std::size_t, std::string>> UnreachableVms_;
+  int DaemonWithoutStore_ = -1;
+  bool FaultsOver_ = false;
 };
 
-void runTrials(unsigned First, unsigned Last, TrialFaults Faults) {
+void runScenarios(unsigned First, unsigned Last, ScenarioFaults Faults) {
   for (unsigned Seed = First; Seed <= Last; ++Seed) {
     BOOST_TEST_CONTEXT("seed " << Seed) {
-      Trial Each(Seed, Faults);
-      Each.run();
-      Each.check();
+      Scenario Next(Seed, Faults);
+      Next.run();
+      Next.check();
     }
   }
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(calm) { runTrials(1, 4, TrialFaults{}); }
+BOOST_AUTO_TEST_CASE(calm) { runScenarios(1, 4, ScenarioFaults{}); }
 
 BOOST_AUTO_TEST_CASE(storeLosesDelaysAndRefuses) {
-  runTrials(101, 115, TrialFaults{true, false, false, false, false});
+  runScenarios(101, 115, ScenarioFaults{true, false, false, false, false});
 }
 
 BOOST_AUTO_TEST_CASE(ordersAreLostAndLate) {
-  runTrials(201, 215, TrialFaults{false, true, false, false, false});
+  runScenarios(201, 215, ScenarioFaults{false, true, false, false, false});
 }
 
 BOOST_AUTO_TEST_CASE(daemonsAreKilled) {
-  runTrials(301, 315, TrialFaults{false, false, true, false, false});
+  runScenarios(301, 315, ScenarioFaults{false, false, true, false, false});
 }
 
 BOOST_AUTO_TEST_CASE(vmsAreCutOff) {
-  runTrials(401, 415, TrialFaults{false, false, false, true, false});
+  runScenarios(401, 415, ScenarioFaults{false, false, false, true, false});
 }
 
 BOOST_AUTO_TEST_CASE(ownerAndStandbyReachDifferentVms) {
-  runTrials(601, 615, TrialFaults{false, false, false, false, true});
+  runScenarios(601, 615, ScenarioFaults{false, false, false, false, true});
 }
 
 BOOST_AUTO_TEST_CASE(everythingAtOnce) {
-  runTrials(501, 530, TrialFaults{true, true, true, true, false});
+  runScenarios(501, 530, ScenarioFaults{true, true, true, true, false});
 }
--- a/packages/fleet/tests/VmLinkTest.cpp
+++ b/packages/fleet/tests/VmLinkTest.cpp
@@ -13,7 +13,7 @@
 const TaskRun Run{{{"j", 0, 0}, 0}, 1};
 
 /// A link to one VM, and what it told.
-struct Fixture : VmLinkEvents {
+struct Fixture : VmLinkListener {
   Fixture() : Vms(ControlLoop), Calls(Vms, ControlLoop) { Vms.add("a", 1); }
 
   void connect(milliseconds Inherited = {}) {
@@ -22,7 +22,7 @@
     Entry.Address = "a:1";
     VmLink::Options Options;
     Options.FencingToken = 1;
-    Options.InheritedUntil = ControlLoop.Time.now() + Inherited;
+    Options.InheritedLeasesUntil = ControlLoop.Time.now() + Inherited;
     Link = std::make_shared<VmLink>(Entry, Options, Calls, ControlLoop,
                                     ControlLoop.Time, *this);
     Link->start();
@@ -32,43 +32,45 @@
       Link->close();
   }
 
-  void reported(VmLink &, const HoldAnswer &Answer, TimePoint) override {
+  void onReport(VmLink &, const HoldAnswer &Answer, TimePoint) override {
     ++Reports;
     LastAnswer = Answer;
     for (const TaskEnd &End : Answer.Ends)
-      ControlLoop.after(RecordTime, [this, Incarnation = Answer.Incarnation,
-                                     Number = End.Number] {
+      ControlLoop.after(RecordingDelay, [this, Incarnation = Answer.Incarnation,
+                                         Number = End.Number] {
         Link->acknowledge(Incarnation, Number);
       });
   }
-  void unanswered(VmLink &) override {}
-  void silent(VmLink &, std::string_view, int Tries) override {
-    SilentTries.push_back(Tries);
+  void onNoAnswer(VmLink &) override {}
+  void onUnreachable(VmLink &, std::string_view, int Attempts) override {
+    UnreachableAttempts.push_back(Attempts);
   }
-  void answering(VmLink &) override { ++Answering; }
-  void lapsed(VmLink &) override { LapsedAt = ControlLoop.Time.now(); }
-  void fenced(VmLink &) override { Fenced = true; }
-  void startAnswered(VmLink &, const TaskRun &, StartOutcome Outcome,
-                     std::string_view) override {
+  void onReachable(VmLink &) override { ++ReachableReports; }
+  void onLeaseExpired(VmLink &) override {
+    LeaseExpiredAt = ControlLoop.Time.now();
+  }
+  void onFenced(VmLink &) override { Fenced = true; }
+  void onStartAnswered(VmLink &, const TaskRun &, StartOutcome Outcome,
+                       std::string_view) override {
     Outcomes.push_back(Outcome);
   }
-  void stopAnswered(VmLink &, const TaskRun &) override { ++Stopped; }
-  bool wanted(const VmLink &, const TaskRun &) const override { return true; }
+  void onStopAnswered(VmLink &, const TaskRun &) override { ++Stopped; }
+  bool isWanted(const VmLink &, const TaskRun &) const override { return true; }
   TimePoint leaseLimit() const override { return TimePoint::max(); }
 
   FakeLoop ControlLoop;
   /// How long it takes to record an end.
-  milliseconds RecordTime{0};
+  milliseconds RecordingDelay{0};
   FakeVms Vms;
   FakeVmCalls Calls;
   std::shared_ptr<VmLink> Link;
   int Reports = 0;
   int Stopped = 0;
   HoldAnswer LastAnswer;
-  std::vector<int> SilentTries;
-  int Answering = 0;
+  std::vector<int> UnreachableAttempts;
+  int ReachableReports = 0;
   bool Fenced = false;
-  std::optional<TimePoint> LapsedAt;
+  std::optional<TimePoint> LeaseExpiredAt;
   std::vector<StartOutcome> Outcomes;
 };
 
@@ -86,8 +88,8 @@
   const TimePoint Begin = ControlLoop.Time.now();
   connect(InheritedLeaseWait);
   ControlLoop.runFor(InheritedLeaseWait * 2);
-  BOOST_REQUIRE(LapsedAt);
-  BOOST_CHECK(*LapsedAt - Begin >= InheritedLeaseWait);
+  BOOST_REQUIRE(LeaseExpiredAt);
+  BOOST_CHECK(*LeaseExpiredAt - Begin >= InheritedLeaseWait);
 }
 
 BOOST_FIXTURE_TEST_CASE(cutVmLapsesAfterItsLeaseAndNotBefore, Fixture) {
@@ -103,13 +105,13 @@
     return OrderFate{OrderFate::Lost, {}};
   };
   ControlLoop.runFor(TaskLease * 3);
-  BOOST_CHECK(!SilentTries.empty());
-  BOOST_REQUIRE(LapsedAt);
+  BOOST_CHECK(!UnreachableAttempts.empty());
+  BOOST_REQUIRE(LeaseExpiredAt);
   // The VM ended the run by itself, before the link counted it as ended.
   const RunEvent &End = Vms.History.back();
   BOOST_REQUIRE(!End.Start);
   BOOST_CHECK(End.How == RunEnd::Lapsed);
-  BOOST_CHECK(End.At <= *LapsedAt);
+  BOOST_CHECK(End.At <= *LeaseExpiredAt);
 }
 
 BOOST_FIXTURE_TEST_CASE(lostAnswerIsSettledByARepeat, Fixture) {
@@ -211,28 +213,29 @@
   // One line at its begin does not show that a VM is silent to the end.
   connect();
   ControlLoop.runFor(milliseconds(500));
-  BOOST_CHECK_EQUAL(Answering, 1);
+  BOOST_CHECK_EQUAL(ReachableReports, 1);
   Calls.HoldsUnhealthy = true;
   ControlLoop.runFor(milliseconds(10000));
   const std::vector<int> Expected{2, 4, 8, 16, 32};
-  BOOST_CHECK_EQUAL_COLLECTIONS(SilentTries.begin(), SilentTries.end(),
-                                Expected.begin(), Expected.end());
+  BOOST_CHECK_EQUAL_COLLECTIONS(UnreachableAttempts.begin(),
+                                UnreachableAttempts.end(), Expected.begin(),
+                                Expected.end());
   Calls.HoldsUnhealthy = false;
   ControlLoop.runFor(milliseconds(3000));
-  BOOST_CHECK_EQUAL(Answering, 2);
+  BOOST_CHECK_EQUAL(ReachableReports, 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(failedHoldsAreRepeatedAtOnePace, Fixture) {
   // An end that was acknowledged while a hold was planned left a timer more,
   // and each of them went on asking the VM.
-  RecordTime = milliseconds(40);
+  RecordingDelay = milliseconds(40);
   connect();
   ControlLoop.runFor(milliseconds(500));
   Link->startRun(startOf(), "spec");
   const auto Ended = [this] { return !LastAnswer.Ends.empty(); };
   while (!Ended())
     ControlLoop.runFor(milliseconds(10));
-  ControlLoop.runFor(RecordTime);
+  ControlLoop.runFor(RecordingDelay);
   Calls.HoldsUnhealthy = true;
   ControlLoop.runFor(milliseconds(3000));
   const int Before = Calls.Holds;
@@ -269,6 +272,6 @@
     return OrderFate{OrderFate::Lost, {}};
   };
   ControlLoop.runFor(milliseconds(20000));
-  BOOST_REQUIRE(LapsedAt);
-  BOOST_CHECK(*LapsedAt - Restarted >= VmLink::Options{}.MaxLease);
+  BOOST_REQUIRE(LeaseExpiredAt);
+  BOOST_CHECK(*LeaseExpiredAt - Restarted >= VmLink::Options{}.MaxLease);
 }
