--- a/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
+++ b/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
@@ -17,10 +17,10 @@
 
 namespace cuminroad {
 
-/// Spreads questions to the placement advisor over the daemons: it takes one
-/// call at a time from each calling machine, so that a pool's owner alone would
-/// be too slow. Questions wait here, those of urgent queues first, until a
-/// daemon is free. Runs on the control thread.
+/// Distributes requests for placement advice over the daemons. The advisor
+/// serves one call at a time from each machine, so that the machine of a pool's
+/// owner alone would be too slow. Requests are queued here, those of urgent
+/// queues first, until a daemon is idle. Runs on the control thread.
 class AdviceDispatcher : public std::enable_shared_from_this<AdviceDispatcher> {
 public:
   struct Answer {
@@ -31,7 +31,7 @@
     TimePoint ReceivedAt{};
   };
   using Done = std::function<void(const StepName &, Result<Answer>)>;
-  /// Whether an answer is still of use.
+  /// Whether the answer to a request about this step is still needed.
   using StillNeeded = std::function<bool(const StepName &)>;
 
   AdviceDispatcher(PlacementAdvisor &LocalAdvisor, PeerCalls &Peers,
@@ -39,9 +39,9 @@
                    std::string SelfName, StillNeeded StillNeeded, Done Done);
 
   void close() { Closed_ = true; }
-  /// The other daemons that may be asked.
+  /// Sets the other daemons that can call the advisor for this one.
   void setPeers(const DaemonRows &Others);
-  /// Tells which queues need advice, and how long it takes.
+  /// Determines from the queues whether any of them makes short decisions.
   void setQueues(std::span<const QueueRoute> Routes);
   void requestAdvice(const AskAdvice &Ask);
   std::size_t waiting() const { return Queue_.size(); }
@@ -54,7 +54,7 @@
     milliseconds Backoff{0};
     bool Registered = true;
   };
-  /// A question; more than one daemon may be asking it.
+  /// A queued request. Several daemons may be asked the same request at once.
   struct PendingRequest {
     AskAdvice Ask;
     int Attempts = 0;
@@ -66,9 +66,10 @@
   void dispatch();
   void dispatchOnce();
   void enqueue(const PendingRequestPtr &Request);
-  /// Daemons that answered last and have nothing to do.
+  /// \returns the daemons whose last call succeeded and that can take another
+  /// one.
   std::vector<std::string> idleDaemons(bool ShortDecision) const;
-  /// A daemon that failed and may be tried again, or "".
+  /// \returns a daemon whose last call failed and whose backoff is over, or "".
   std::string failedDaemonToProbe() const;
   void send(const std::string &Name, const PendingRequestPtr &Request);
   void hedge(const PendingRequestPtr &Request);
@@ -88,7 +89,8 @@
   std::map<std::string, DaemonState> Daemons_;
   std::vector<PendingRequestPtr> Queue_;
   std::size_t NextDaemon_ = 0;
-  /// pump() is under way, and is to go through the queue once more.
+  /// Set while dispatch() runs; DispatchAgain_ makes it process the queue once
+  /// more.
   bool Dispatching_ = false;
   bool DispatchAgain_ = false;
   bool HasShortDecisions_ = false;
--- a/packages/fleet/include/cuminroad/fleet/DaemonIdentity.h
+++ b/packages/fleet/include/cuminroad/fleet/DaemonIdentity.h
@@ -5,14 +5,14 @@
 
 namespace cuminroad {
 
-/// One life of a daemon's process.
+/// Identifies one run of a daemon's process.
 struct DaemonIdentity {
   std::string Name;
   std::string Incarnation;
   std::string Domain;
-  /// "address:port" for other daemons.
+  /// "address:port" at which other daemons reach this one.
   std::string PeerAddress;
-  /// The part of a processor core that the process may use.
+  /// Share of one processor core that the process may use; 1.0 is a whole core.
   double CpuShare = 1.0;
 };
 
--- a/packages/fleet/include/cuminroad/fleet/DaemonRow.h
+++ b/packages/fleet/include/cuminroad/fleet/DaemonRow.h
@@ -9,17 +9,17 @@
 
 namespace cuminroad {
 
-/// How a daemon registers itself in the store.
+/// A daemon's registration in the store.
 struct DaemonRow {
-  /// "address:port" for other daemons.
+  /// "address:port" at which other daemons reach this one.
   std::string PeerAddress;
-  /// One life of its process.
+  /// Identifies one run of the daemon's process.
   std::string Incarnation;
 
   bool operator==(const DaemonRow &) const = default;
 };
 
-/// The daemons that have registered, by name.
+/// The registered daemons, by name.
 using DaemonRows = std::map<std::string, DaemonRow>;
 
 std::string encodeDaemon(const DaemonRow &Row);
--- a/packages/fleet/include/cuminroad/fleet/FleetContext.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetContext.h
@@ -17,7 +17,8 @@
 
 namespace cuminroad {
 
-/// What the parts of a fleet daemon work with; all of it outlives them.
+/// Shared dependencies of the components of a fleet daemon. All of them outlive
+/// the components.
 struct FleetContext {
   const FleetSettings &Settings;
   const DaemonIdentity &Self;
--- a/packages/fleet/include/cuminroad/fleet/FleetDaemon.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetDaemon.h
@@ -19,7 +19,7 @@
 
 namespace cuminroad {
 
-/// What a fleet daemon is built on; all of it outlives the daemon.
+/// Dependencies of a fleet daemon. All of them outlive the daemon.
 struct FleetDependencies {
   FleetSettings Settings;
   const Clock &MonotonicClock;
@@ -33,19 +33,20 @@
   const PlatformFormats &Formats;
 };
 
-/// Makes the handler of callers' requests.
+/// Creates the handler of client requests.
 using RequestHandlerFactory = std::function<HttpHandler(
     const QueueRegistry &Queues, JobFrontend &Frontend)>;
 
-/// A daemon of the fleet: a front door for callers, and the owner of those
-/// pools that it holds the lease of.
+/// A daemon of the fleet. It serves clients through its job frontend, and owns
+/// the pools whose lease it holds.
 class FleetDaemon {
 public:
   virtual ~FleetDaemon() = default;
-  /// Opens the ports and begins; the loop's run() does the rest.
+  /// Opens the ports and schedules the first work on the loop, which the caller
+  /// then runs.
   virtual void start() = 0;
-  /// Begins a graceful shutdown; the loop is stopped at its end. Call on the
-  /// loop's thread.
+  /// Begins a graceful shutdown, which stops the loop when it is complete. Must
+  /// be called on the loop's thread.
   virtual void stop() = 0;
 };
 
--- a/packages/fleet/include/cuminroad/fleet/FleetMetrics.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetMetrics.h
@@ -15,24 +15,25 @@
 
 namespace cuminroad {
 
-/// A fleet daemon's counters and histograms, by Prometheus's conventions. Runs
-/// on the control thread.
+/// Metrics of a fleet daemon, named by the Prometheus conventions. Runs on the
+/// control thread.
 class FleetMetrics {
 public:
   FleetMetrics();
 
-  /// A caller's submission was answered.
+  /// Counts a client's submission that was answered.
   void recordSubmission(const std::string &Queue, std::string_view Outcome,
                         milliseconds Duration);
-  /// A call of the store ended.
+  /// Counts a call of the store that ended.
   void recordStoreCall(std::string_view Kind, std::string_view Outcome,
                        milliseconds Duration);
   void recordRunStart(std::string_view Outcome);
   void recordRunEnd(std::string_view How);
   void recordAdvice(std::string_view Outcome);
-  /// What an owned pool holds; empty loads tell that the pool is not owned.
+  /// Sets the gauges of an owned pool. A default PoolLoad resets them once the
+  /// pool is no longer owned.
   void setPoolLoad(const std::string &Service, const PoolLoad &Load);
-  /// \returns the text exposition of all metrics.
+  /// \returns all metrics in the Prometheus text format.
   std::string render() const;
 
 private:
--- a/packages/fleet/include/cuminroad/fleet/FleetSettings.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetSettings.h
@@ -7,7 +7,7 @@
 
 namespace cuminroad {
 
-/// A port on an address of this VM.
+/// An IP address of this VM and a port.
 struct ListenAddress {
   std::string Address;
   int Port = 0;
@@ -15,29 +15,29 @@
   std::string text() const { return Address + ":" + std::to_string(Port); }
 };
 
-/// What a daemon of the fleet must know of its place; the platform's adapter
-/// fills it in.
+/// Settings of a fleet daemon; the platform's adapter fills them in.
 struct FleetSettings {
   std::string Name;
   /// The failure domain of this VM.
   std::string Domain;
-  /// For callers.
+  /// For client requests.
   ListenAddress FrontendAddress;
-  /// For the balancer, which asks whether to send callers here.
+  /// For the load balancer's readiness check.
   ListenAddress ReadinessAddress;
-  /// For the other daemons.
+  /// For other daemons.
   ListenAddress PeerAddress;
-  /// For metrics.
+  /// For scrapes of the metrics.
   ListenAddress MetricsAddress;
-  /// The part of a processor core that this VM may use.
+  /// Share of one processor core that this VM may use; 1.0 is a whole core.
   double CpuShare = 1.0;
-  /// Longest lease that a VM grants on what it runs.
+  /// Longest lease that a VM grants for the tasks that it runs.
   milliseconds MaxTaskLease{6000};
-  /// How much longer work takes away from its data.
+  /// Factor by which a task takes longer away from its data, or in a gang that
+  /// spans racks.
   double RemoteFactor = 1.0;
-  /// How long the state of a finished job can be asked for.
+  /// How long the state of a finished job can be queried.
   seconds FinishedJobRetention{120};
-  /// From SIGTERM until the process is killed.
+  /// Time between SIGTERM and the forced end of the process.
   milliseconds StopGracePeriod{6000};
 };
 
--- a/packages/fleet/include/cuminroad/fleet/JobFrontend.h
+++ b/packages/fleet/include/cuminroad/fleet/JobFrontend.h
@@ -15,53 +15,54 @@
 
 namespace cuminroad {
 
-/// What a caller is told of a submission.
+/// Outcome of a submission, as the client receives it.
 enum class SubmitOutcome {
   /// The job is in the store and will run.
   Accepted,
   /// The job was not accepted and will never run.
   NotAccepted,
-  /// Nobody knows yet; the same submission may be sent again.
+  /// Whether the job was accepted could not be determined. The client may send
+  /// the same submission again.
   Unknown,
 };
 
-/// The answer to a submission or a cancellation.
+/// The answer to a submission.
 struct SubmitReply {
   SubmitOutcome Outcome = SubmitOutcome::Unknown;
-  /// When it makes sense to come back.
+  /// When the client should try again.
   milliseconds RetryAfter{0};
 };
 
-/// The answer to a question about a job or a queue.
+/// The answer to a query about a job or a queue.
 template <typename T> struct QueryResult {
-  /// Nothing where the answer is not known at present.
+  /// Empty if the answer can't be determined at present.
   std::optional<T> Value;
 
   static QueryResult known(T Answer) {
     QueryResult Out;
-    // An answer that is itself empty would be taken for no answer otherwise.
+    // Assigning an empty optional would be taken for an unknown answer.
     Out.Value.emplace(std::move(Answer));
     return Out;
   }
   static QueryResult unknown() { return {}; }
 };
 
-/// Whom to ask about a pool.
+/// Looks up the owners of pools.
 class OwnerLookup {
 public:
   virtual ~OwnerLookup() = default;
-  /// \returns the owner as last read, or null.
+  /// \returns the owner as last read from the store, or null.
   virtual const OwnerRow *ownerOf(std::string_view Service) const = 0;
 };
 
-/// Where callers' jobs come in and are asked about, at any daemon. A job is
-/// accepted by writing its row, under a check that there is none; the pool's
-/// owner hears of it by the store, so that a daemon that is cut off from the
-/// owner still accepts jobs. Runs on the control thread.
+/// Accepts, cancels and queries jobs for clients, on any daemon. A job is
+/// accepted by a write of its row on condition that no such row exists. The
+/// pool's owner learns of the job from the store, so that a daemon without a
+/// connection to the owner still accepts jobs. Runs on the control thread.
 class JobFrontend {
 public:
   using SubmitDone = std::function<void(SubmitReply)>;
-  /// Nothing inside a known answer: no such job was ever accepted.
+  /// A known but empty answer means that no such job was ever accepted.
   using StageDone = std::function<void(QueryResult<std::optional<JobStage>>)>;
   using CountDone = std::function<void(QueryResult<int>)>;
 
@@ -69,7 +70,7 @@
               const OwnerLookup &Owners)
       : Context_(Context), Owned_(Owned), Owners_(Owners) {}
 
-  /// \param Patience how long the caller waits for an answer.
+  /// \param CallerTimeout how long the client waits for the answer.
   void submit(const QueueTerms &Queue, JobPlan Plan, milliseconds CallerTimeout,
               SubmitDone Done);
   void cancel(std::string_view Job, milliseconds CallerTimeout,
@@ -87,14 +88,15 @@
   void handleWriteResult(std::shared_ptr<Submission> Pending,
                          Result<RowCommit> Outcome);
   void reply(const Submission &Pending, const SubmitReply &Reply);
-  /// Writes again when the store has answered any call since \p FailedAt.
+  /// Repeats the write as soon as the store has answered any call after \p
+  /// FailedAt.
   void writeWhenReachable(std::shared_ptr<Submission> Pending,
                           TimePoint FailedAt);
   void readForCancel(std::shared_ptr<Cancellation> Pending);
   void writeCancel(std::shared_ptr<Cancellation> Pending,
                    std::int64_t RequestVersion);
   void retryCancel(std::shared_ptr<Cancellation> Pending);
-  /// Nothing where the store gave no answer until then.
+  /// The page is empty if the store did not respond before the deadline.
   using ReadDone = std::function<void(std::optional<RowPage>)>;
 
   void readWithRetry(RowRange Range, TimePoint Deadline, ReadDone Done);
--- a/packages/fleet/include/cuminroad/fleet/JobRows.h
+++ b/packages/fleet/include/cuminroad/fleet/JobRows.h
@@ -12,25 +12,25 @@
 
 namespace cuminroad {
 
-/// A job as a front door accepted it. The row is written once, under a check
-/// that there is none, and never changes: its partition follows from the job's
-/// id alone, so that any two daemons agree on it.
+/// A job as a frontend accepted it. The row is written once, on condition that
+/// it does not exist, and never changes. Its partition depends on the job's id
+/// alone, so that all daemons agree on it.
 struct JobRequest {
   std::string Queue;
-  /// The pool that runs the job, as the contract in force named it.
+  /// The pool that runs the job, by the contract in force when it was accepted.
   std::string Service;
-  /// By the store's clock.
+  /// Time by the store's clock.
   milliseconds AcceptedAt{0};
   JobPlan Plan;
 };
 
 // Names of the rows that the fleet keeps in the store.
 
-/// Jobs accepted, and their cancellations.
+/// Accepted jobs and their cancellations.
 inline constexpr std::string_view RequestTable = "requests";
-/// What has become of jobs; written by the pool's owner only.
+/// Progress of jobs; only the pool's owner writes it.
 inline constexpr std::string_view ProgressTable = "progress";
-/// Who owns each pool.
+/// The owner of each pool.
 inline constexpr std::string_view OwnerTable = "owners";
 /// The daemons of the fleet.
 inline constexpr std::string_view DaemonTable = "daemons";
@@ -43,11 +43,12 @@
 std::string poolPartition(std::string_view Service);
 /// All partitions of RequestTable.
 std::vector<std::string> requestPartitions();
-/// \returns the job of a cancellation's key, or "" for another key.
+/// \returns the job that a cancellation's key belongs to, or "" if \p Key is
+/// not the key of a cancellation.
 std::string_view cancelledJob(std::string_view Key);
 
 std::string encodeRequest(const JobRequest &Request);
-/// \param Job the row's key.
+/// \param Job the key of the row.
 Result<JobRequest> decodeRequest(std::string_view Job, std::string_view Bytes);
 
 } // namespace cuminroad
--- a/packages/fleet/include/cuminroad/fleet/LeaseTimes.h
+++ b/packages/fleet/include/cuminroad/fleet/LeaseTimes.h
@@ -3,40 +3,43 @@
 
 #include "cuminroad/base/Clock.h"
 
-// The times around a change of a pool's owner.
+// Durations that govern a change of a pool's owner.
 //
-// That no task runs twice does not rest on them: an earlier owner can't record
-// a start after it was replaced, what it recorded is known to the next one, and
-// VMs refuse its orders once the next one has claimed them. Times matter only
-// for VMs that the next owner can't reach. With an owner that was last renewed
-// at time 0:
+// They are not needed to prevent a task from running twice: a replaced owner
+// can't record starts any more, the next owner knows the starts recorded
+// before, and VMs refuse the old owner's orders once the next owner has claimed
+// them. The durations matter only for VMs that the next owner can't reach. If
+// the old owner's last renewal was at time 0:
 //
-//   - it extends no VM's lease beyond HoldLimit;
-//   - a standby takes over at OwnerLapseMin at the earliest, and counts runs on
-//     a VM that it can't reach as ended InheritedWait later.
+//   - the old owner extends no VM's lease beyond VmLeaseLimit;
+//   - a standby takes over at MinOwnerLease at the earliest, and
+//     InheritedLeaseWait later assumes that all runs on an unreachable VM have
+//     ended.
 //
-// So OwnerLapseMin + InheritedWait must be above HoldLimit, by more than the
-// two percent that a VM's clock may run slow.
+// MinOwnerLease + InheritedLeaseWait must therefore exceed VmLeaseLimit by more
+// than two percent, since a VM's clock may run slow by that much.
 
 namespace cuminroad {
 
-/// How often a standby reads the owner row, at least.
+/// Longest interval between two reads of the owner row by a standby.
 inline constexpr milliseconds OwnerPollInterval{300};
-/// How often an owner with nothing to write renews it.
+/// How often an owner that has nothing else to write renews the owner row.
 inline constexpr milliseconds OwnerRenewalInterval{300};
-/// An owner row that does not change for this long may be taken over; three
-/// renewals. Longer by some of the store's delay, up to the maximum.
+/// An owner row that has not changed for this long may be taken over. The
+/// minimum is about three renewals; the owner extends it by a multiple of the
+/// store's delay, up to the maximum, while the store is slow.
 inline constexpr milliseconds MinOwnerLease{1000};
 inline constexpr milliseconds MaxOwnerLease{4000};
 inline constexpr int OwnerLeaseDelayFactor = 4;
-/// How long a VM may run tasks without a word of the owner. Outlasts a change
-/// of owners: the lapse, the standby's poll, reading the jobs, and the time
-/// since the last hold before.
+/// How long a VM may run tasks without contact to the owner. It covers a change
+/// of owners: the expiry of the owner row, the standby's poll interval, reading
+/// the jobs, and the time since the last lease renewal before the change.
 inline constexpr milliseconds TaskLease{4000};
-/// An owner whose last renewal was sent this long ago lets the leases of its
-/// VMs end by then.
+/// An owner extends no VM's lease beyond this time after its own last renewal
+/// was sent.
 inline constexpr milliseconds VmLeaseLimit{9000};
-/// How long a new owner waits for VMs that it can't reach.
+/// How long a new owner waits before it assumes that the leases of a VM that it
+/// can't reach have expired.
 inline constexpr milliseconds InheritedLeaseWait{8300};
 
 } // namespace cuminroad
--- a/packages/fleet/include/cuminroad/fleet/OwnerRow.h
+++ b/packages/fleet/include/cuminroad/fleet/OwnerRow.h
@@ -11,20 +11,21 @@
 namespace cuminroad {
 
 /// The row that names a pool's owner. Each of the owner's transactions replaces
-/// it under a check of its version.
+/// it on condition that its version is unchanged.
 struct OwnerRow {
-  /// "" after the owner released the pool.
+  /// Name of the owning daemon; "" after it released the pool.
   std::string Holder;
-  /// One life of the holder's process.
+  /// Identifies one run of the owner's process.
   std::string Incarnation;
-  /// "address:port" for other daemons.
+  /// "address:port" at which other daemons reach the owner.
   std::string PeerAddress;
-  /// Rises with each owner; the fencing token of its orders.
+  /// Incremented with each change of owner; the fencing token of the owner's
+  /// orders.
   std::int64_t Epoch = 0;
-  /// Rises with each transaction of one owner.
+  /// Increases with each transaction of one owner.
   std::int64_t Serial = 0;
-  /// The row may be taken over when it has not changed for this long; the owner
-  /// asks for more while the store is slow.
+  /// The row may be taken over when it has not changed for this long. The owner
+  /// writes a longer duration while the store is slow.
   milliseconds LeaseDuration{0};
 };
 
--- a/packages/fleet/include/cuminroad/fleet/PlacementAdvisor.h
+++ b/packages/fleet/include/cuminroad/fleet/PlacementAdvisor.h
@@ -12,8 +12,9 @@
 
 namespace cuminroad {
 
-/// The service that knows which VMs a queue's policy allows. It takes one call
-/// at a time from each calling machine. Results come on the loop's thread.
+/// The external service that decides which VMs a queue's policy allows. It
+/// serves one call at a time from each machine. Results arrive on the loop's
+/// thread.
 class PlacementAdvisor {
 public:
   using Done = std::function<void(Result<std::vector<AdviceTicket>>)>;
--- a/packages/fleet/include/cuminroad/fleet/PlatformFormats.h
+++ b/packages/fleet/include/cuminroad/fleet/PlatformFormats.h
@@ -10,11 +10,11 @@
 
 namespace cuminroad {
 
-/// Which rows of the store operators and VMs write, and what is in them.
+/// Names and formats of the rows that operators and VMs write to the store.
 class PlatformFormats {
 public:
   virtual ~PlatformFormats() = default;
-  /// Table in which operators write, and the key of the contracts in force.
+  /// The table that operators write to, and the key of the contracts in force.
   virtual std::string configTable() const = 0;
   virtual std::string configKey() const = 0;
   virtual std::string vmTable() const = 0;
--- a/packages/fleet/include/cuminroad/fleet/PoolLease.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolLease.h
@@ -13,39 +13,40 @@
 
 namespace cuminroad {
 
-/// A term of ownership of a pool.
+/// One daemon's term as the owner of a pool.
 struct PoolTerm {
   std::string Service;
   std::int64_t Epoch = 0;
-  /// Version of the owner row as this daemon wrote it.
+  /// Version of the owner row that this daemon wrote when it took over.
   std::int64_t RowVersion = 0;
-  /// When the write was sent.
+  /// When that write was sent.
   TimePoint WrittenAt{};
-  /// Whether an earlier owner may have left runs on VMs.
+  /// Whether the pool had an owner before, whose runs may still be on VMs.
   bool Inherited = false;
 };
 
-/// Decides which daemon owns a pool, by a row of the store that each of the
-/// owner's transactions replaces. A standby takes over a row that has not
-/// changed for the length of the lease, by its own clock; time in which it
-/// could not read does not count. Standbys wait for different times, so that
-/// one is usually first; those that own a pool already, and those with little
-/// processor time, wait longer.
+/// Elects the daemon that owns a pool, by a row in the store that each of the
+/// owner's transactions replaces. A standby takes the row over when it has not
+/// changed for the length of the lease, measured by the standby's own clock and
+/// excluding time in which the row could not be read. Standbys add different
+/// delays, so that usually one of them comes first; the delay is longer for
+/// daemons that own pools already or have little processor time.
 class PoolLease : public std::enable_shared_from_this<PoolLease> {
 public:
   PoolLease(RowStore &Store, Loop &ControlLoop, const Clock &MonotonicClock,
             EventLog &Events, const DaemonIdentity &Self, std::string Service);
 
   void start();
-  /// Never takes the pool over again.
+  /// Prevents any further takeover by this daemon.
   void stop() { Stopped_ = true; }
-  /// The owner stepped down; watch the row again.
+  /// Watches the owner row again, after the pool's owner in this process was
+  /// replaced.
   void resumeStandby();
-  /// The owner as last read.
+  /// The owner as last read from the store.
   const OwnerRow &owner() const { return Owner_; }
 
   std::function<void(PoolTerm)> OnAcquired;
-  /// How many pools this daemon owns already.
+  /// Returns the number of pools that this daemon owns already.
   std::function<int()> OwnedPoolCount;
 
 private:
--- a/packages/fleet/include/cuminroad/fleet/PoolOwner.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolOwner.h
@@ -20,14 +20,14 @@
 
 namespace cuminroad {
 
-/// Runs the jobs of one pool for one term of ownership: reads them from the
-/// store, holds the pool's VMs, lets the scheduler decide, records what must
-/// last before it takes effect, and sends the orders. Runs on the control
-/// thread.
+/// Runs the jobs of one pool for one term of ownership. It reads the jobs from
+/// the store, holds the leases of the pool's VMs, lets the scheduler decide,
+/// makes decisions durable in the store before they take effect, and sends the
+/// orders to the VMs. Runs on the control thread.
 ///
-/// Recorded before it takes effect: the VM and number of each run, before the
-/// start is sent; an end and what follows from it, before it is acknowledged to
-/// the VM; a final stage, before callers are told.
+/// Made durable first are: the VM and number of a run, before its start is
+/// sent; the end of a run and its consequences, before the end is acknowledged
+/// to the VM; a job's final stage, before clients can see it.
 class PoolOwner final : public VmLinkListener,
                         public RowSink,
                         public std::enable_shared_from_this<PoolOwner> {
@@ -35,19 +35,19 @@
   PoolOwner(const FleetContext &Context, PoolTerm Term);
 
   void start();
-  /// Stops all work at once; no order leaves after this.
+  /// Stops all work at once; no order is sent after this.
   void close();
-  /// Hands the pool over to a standby, and closes.
+  /// Releases the pool, so that a standby can take over at once, and closes.
   void release();
-  /// Takes in changed contracts.
+  /// Applies changed contracts.
   void queuesChanged();
   void setPeers(const DaemonRows &Others);
 
-  /// Whether the pool's jobs are known.
+  /// Whether the pool's jobs have been read from the store.
   bool loaded() const { return Scheduler_ != nullptr; }
   std::optional<JobStage> stage(std::string_view Job) const;
   int pending(std::string_view Queue) const;
-  /// Called once when another daemon owns the pool.
+  /// Called once when another daemon has become the pool's owner.
   std::function<void()> OnReplaced;
 
   void onReport(VmLink &Link, const HoldAnswer &Answer,
@@ -103,25 +103,26 @@
   TimePoint InheritedLeasesUntil_{};
   int DirectoryListener_ = 0;
   std::map<std::string, std::shared_ptr<VmLink>, std::less<>> Links_;
-  /// The last end of a VM's life that was taken in.
+  /// The last end that was processed of a VM's incarnation.
   struct ReceivedEnds {
     std::int64_t Incarnation = 0;
     std::int64_t LastEnd = 0;
   };
   std::map<std::string, ReceivedEnds> ReceivedEnds_;
-  /// Jobs read before the progress was.
+  /// Rows that were read before the scheduler could be created.
   std::map<std::string, JobRequest> LoadedRequests_;
   std::set<std::string> LoadedCancels_;
   std::map<std::string, JobProgress> LoadedProgress_;
   bool RequestsRead_ = false;
   bool ProgressRead_ = false;
-  /// Final stages that are in the store, and when they got there.
+  /// A final stage that is in the store, and when it was written.
   struct FinalStage {
     JobStage Stage;
     TimePoint RecordedAt;
   };
   std::map<std::string, FinalStage, std::less<>> FinalStages_;
-  /// Specs of unfinished jobs go with their starts.
+  /// Starts whose transaction has not been submitted yet. The spec of the job
+  /// is added when they are sent.
   std::vector<StartRun> UnrecordedStarts_;
   bool PassScheduled_ = false;
   bool Closed_ = false;
--- a/packages/fleet/include/cuminroad/fleet/QueueConfig.h
+++ b/packages/fleet/include/cuminroad/fleet/QueueConfig.h
@@ -9,11 +9,11 @@
 
 namespace cuminroad {
 
-/// Where callers reach a queue.
+/// The routes by which clients reach a queue, and its terms.
 struct QueueRoute {
   std::string Host;
   std::string PathPrefix;
-  /// Longest time that a caller may be kept waiting for an answer.
+  /// Longest time that a client may have to wait for an answer.
   milliseconds Timeout{3000};
   QueueTerms Terms;
 };
--- a/packages/fleet/include/cuminroad/fleet/QueueRegistry.h
+++ b/packages/fleet/include/cuminroad/fleet/QueueRegistry.h
@@ -7,17 +7,19 @@
 
 namespace cuminroad {
 
-/// The contracts in force in this process. Versions only rise.
+/// The contracts in force in this process. An older version never replaces a
+/// newer one.
 class QueueRegistry {
 public:
-  /// \returns whether \p Config is newer than what was in force.
+  /// \returns whether \p Config is newer than the contracts in force.
   bool apply(QueueConfig Config);
   bool known() const { return Config_.Version > 0; }
   const QueueConfig &config() const { return Config_; }
   /// \returns the route with the longest prefix of \p Path on \p Host, or null.
-  /// The pointer lives until the next apply().
+  /// The pointer is valid until the next apply().
   const QueueRoute *match(std::string_view Host, std::string_view Path) const;
-  /// \returns the terms of a queue, or null.
+  /// \returns the terms of a queue, or null. The pointer is valid until the
+  /// next apply().
   const QueueTerms *terms(std::string_view Queue) const;
 
 private:
--- a/packages/fleet/include/cuminroad/fleet/VmCalls.h
+++ b/packages/fleet/include/cuminroad/fleet/VmCalls.h
@@ -14,53 +14,53 @@
 
 namespace cuminroad {
 
-/// The VM that an order is meant for.
+/// The VM that an order is addressed to.
 struct VmTarget {
   std::string Id;
-  /// "address:port".
+  /// "address:port" of the VM.
   std::string Address;
-  /// A VM that has seen a higher token refuses the order.
+  /// A VM that has received a higher token refuses the order.
   std::int64_t FencingToken = 0;
-  /// Do not reuse an open connection, which may have gone silent.
+  /// Opens a new connection, since the open one may be dead.
   bool FreshConnection = false;
 };
 
-/// A start of a run.
+/// An order to start a run.
 struct StartOrder {
   TaskRun Run;
   std::string Spec;
-  /// When the lease on all that the VM runs ends, by the VM's own clock.
+  /// End of the lease on everything that the VM runs, by the VM's own clock.
   milliseconds LeaseUntil{0};
   std::string Checkpoint;
   std::string Ticket;
 };
 
-/// A renewal of the lease, which also asks what the VM runs.
+/// An order that renews the VM's lease and asks for its running tasks.
 struct HoldOrder {
-  /// Zero does not extend the lease.
+  /// End of the lease by the VM's own clock; zero does not extend it.
   milliseconds LeaseUntil{0};
-  /// Ends up to this number are recorded and may be forgotten.
+  /// Ends up to this number are durable; the VM may forget them.
   std::int64_t AcknowledgedEnd = 0;
-  /// How long the VM may wait for an end before it answers.
+  /// How long the VM may delay its answer while no task ends (long poll).
   milliseconds Wait{0};
 };
 
-/// How an order was answered.
+/// How a VM answered an order.
 enum class OrderOutcome {
   Done,
-  /// The VM has seen a higher fencing token.
+  /// The VM has received a higher fencing token.
   Fenced,
-  /// The run is not above one that was stopped or ended there.
+  /// The VM has already stopped or ended this run, or a later one of the task.
   OldRun,
-  /// The lease in the order had ended already.
+  /// The lease in the order had already expired.
   LeaseOver,
   NoRoom,
   TicketExpired,
-  /// The VM is unhealthy and did nothing.
+  /// The VM is unhealthy and did not carry out the order.
   Unhealthy,
-  /// Another life of the VM, or another VM, has the address.
+  /// The address belongs to another VM, or to another incarnation of this one.
   OtherInstance,
-  /// The order was not understood.
+  /// The VM could not interpret the order.
   Rejected,
 };
 
@@ -69,7 +69,7 @@
 /// The answer to an order other than a hold.
 struct OrderAnswer {
   OrderOutcome Outcome = OrderOutcome::Done;
-  /// The VM's steady clock; absent in some refusals.
+  /// The VM's monotonic clock; absent in some refusals.
   std::optional<milliseconds> VmClock;
 };
 
@@ -77,15 +77,16 @@
 struct HoldAnswer {
   OrderOutcome Outcome = OrderOutcome::Done;
   milliseconds VmClock{0};
-  /// When the VM's present life began; 0 where it did not say.
+  /// When the VM's current incarnation began, as the VM reports it; 0 if it did
+  /// not.
   std::int64_t Incarnation = 0;
   std::vector<RunningTask> Running;
   std::vector<TaskEnd> Ends;
 };
 
-/// Orders to VMs. Results come on the loop's thread. A failure means that it is
-/// unknown whether the order was carried out, or will be; ConnectFailed means
-/// that it was not sent.
+/// Sends orders to VMs. Results arrive on the loop's thread. After a failure it
+/// is unknown whether the order was or will be carried out, except for
+/// ConnectFailed, which means that it was not sent.
 class VmCalls {
 public:
   using OrderDone = std::function<void(Result<OrderAnswer>)>;
--- a/packages/fleet/include/cuminroad/fleet/VmDirectory.h
+++ b/packages/fleet/include/cuminroad/fleet/VmDirectory.h
@@ -13,8 +13,8 @@
 
 namespace cuminroad {
 
-/// The VMs that have registered themselves, as the store last showed them.
-/// Entries that can't be read are left out.
+/// The VMs that have registered, as last read from the store. Entries that
+/// can't be decoded are left out.
 class VmDirectory final : public RowSink {
 public:
   VmDirectory(const PlatformFormats &Formats, EventLog &Events)
@@ -25,12 +25,13 @@
 
   const std::map<std::string, VmEntry> &entries() const { return Entries_; }
   bool known() const { return Known_; }
-  /// Drops what is known, since it is not kept up any more.
+  /// Discards the entries when they are no longer kept up to date.
   void clear() {
     Entries_.clear();
     Known_ = false;
   }
-  /// Adds a listener; \returns a number for removeListener().
+  /// Adds a listener that is called after each change. \returns the number to
+  /// pass to removeListener().
   int addListener(std::function<void()> Listener);
   void removeListener(int Number) { Listeners_.erase(Number); }
 
--- a/packages/fleet/include/cuminroad/fleet/VmEntry.h
+++ b/packages/fleet/include/cuminroad/fleet/VmEntry.h
@@ -7,12 +7,12 @@
 
 namespace cuminroad {
 
-/// A VM as it registered itself with the platform.
+/// A VM as it registered with the platform.
 struct VmEntry {
   PoolVm Vm;
-  /// The pool that it belongs to.
+  /// The pool that the VM belongs to.
   std::string Service;
-  /// "address:port" at which it takes orders.
+  /// "address:port" at which the VM accepts orders.
   std::string Address;
 };
 
--- a/packages/fleet/include/cuminroad/fleet/VmLink.h
+++ b/packages/fleet/include/cuminroad/fleet/VmLink.h
@@ -19,24 +19,26 @@
 
 class VmLink;
 
-/// What happens on a link, told to the pool's owner.
+/// Receives the events of a VM link; implemented by the pool's owner.
 class VmLinkListener {
 public:
   virtual ~VmLinkListener() = default;
-  /// The VM answered a hold that was sent at \p AskedAt.
+  /// The VM answered a hold that was sent at \p SentAt.
   virtual void onReport(VmLink &Link, const HoldAnswer &Answer,
                         TimePoint SentAt) = 0;
-  /// A hold was not answered; it is repeated.
+  /// A hold got no answer or was refused, for the first time since the last
+  /// success. It will be repeated.
   virtual void onNoAnswer(VmLink &Link) = 0;
-  /// The VM does not answer, or refuses; told again each time that the number
-  /// of failed tries has doubled.
+  /// The VM does not answer, or refuses. Called again each time that the number
+  /// of failed attempts has doubled.
   virtual void onUnreachable(VmLink &Link, std::string_view Reason,
                              int Attempts) = 0;
-  /// The VM answered for the first time, or again.
+  /// The VM answered for the first time, or after it was reported as
+  /// unreachable.
   virtual void onReachable(VmLink &Link) = 0;
-  /// The leases on all that ran on the VM have ended.
+  /// All leases on what ran on the VM have expired.
   virtual void onLeaseExpired(VmLink &Link) = 0;
-  /// The VM obeys a newer owner.
+  /// The VM has accepted a newer owner.
   virtual void onFenced(VmLink &Link) = 0;
   virtual void onStartAnswered(VmLink &Link, const TaskRun &Run,
                                StartOutcome Outcome,
@@ -44,22 +46,23 @@
   virtual void onStopAnswered(VmLink &Link, const TaskRun &Run) = 0;
   /// Whether the run should still be started.
   virtual bool isWanted(const VmLink &Link, const TaskRun &Run) const = 0;
-  /// Until when, by this process's clock, leases may be extended.
+  /// Time by this process's clock beyond which no lease may be extended.
   virtual TimePoint leaseLimit() const = 0;
 };
 
-/// A pool owner's conversation with one VM: holds its lease by calls that the
-/// VM answers when something ended there, and sends orders.
+/// A pool owner's link to one VM. It renews the VM's lease by holds, long polls
+/// that the VM answers when a task ended there, and sends orders.
 ///
-/// lapsed() is called only when every lease that this link may have granted has
-/// ended by the VM's clock, which may run two percent slow.
+/// onLeaseExpired() is called only when every lease that this link may have
+/// granted has expired by the VM's clock, which may run two percent slow, or
+/// when another VM has the address.
 class VmLink : public std::enable_shared_from_this<VmLink> {
 public:
   struct Options {
     std::int64_t FencingToken = 0;
     /// Longest lease that the VM grants.
     milliseconds MaxLease{6000};
-    /// Before this, an earlier owner's leases may hold.
+    /// Until this time, leases that an earlier owner granted may be in force.
     TimePoint InheritedLeasesUntil{};
   };
 
@@ -67,7 +70,7 @@
          const Clock &MonotonicClock, VmLinkListener &Listener);
 
   void start();
-  /// Ends the link; nothing is called back after this.
+  /// Ends the link; the listener is not called after this.
   void close() { Closed_ = true; }
   void update(const VmEntry &Entry);
   const std::string &vm() const { return Entry_.Vm.Id; }
@@ -75,10 +78,10 @@
   bool leaseExpiryReported() const { return LeaseExpiryReported_; }
 
   void startRun(const StartRun &Command, const std::string &Spec);
-  /// \returns whether a stop is sent; not where one is under way.
+  /// \returns whether a stop is sent; false if one is already pending.
   bool stopRun(const TaskRun &Run);
   void paceRun(const TaskRun &Run, int Percent);
-  /// The ends reported up to \p Number are recorded.
+  /// Tells the VM that its ends up to \p Number are durable.
   void acknowledge(std::int64_t Incarnation, std::int64_t Number);
 
 private:
@@ -86,17 +89,19 @@
   void handleHoldAnswer(TimePoint SentAt, Result<HoldAnswer> Answer);
   void handleHoldSuccess(TimePoint SentAt, const HoldAnswer &Answer);
   void handleHoldFailure(std::string_view Reason);
-  /// Settles what was sent to the VM's earlier life.
+  /// Handles what was sent to the VM's earlier incarnation.
   void handleRestart();
   void scheduleHold(milliseconds Delay);
   void checkLeaseExpiry();
   void reportLeaseExpired();
   void recordVmClock(milliseconds VmClock);
   std::optional<milliseconds> leaseUntil();
-  /// \returns the time here at which the VM's clock has passed \p VmTime.
+  /// \returns the local time at which the VM's clock has certainly passed \p
+  /// VmTime.
   TimePoint whenVmClockHasPassed(milliseconds VmTime) const;
   void sendStart(StartOrder Order, int Attempts);
-  /// Settles the start once the VM can't accept it any more.
+  /// Completes the start at the time after which the VM can't accept it any
+  /// more.
   void scheduleStartExpiry(const StartOrder &Order);
   void completeStart(const TaskRun &Run, StartOutcome Outcome,
                      std::string_view Reason);
@@ -105,7 +110,7 @@
   void retryStart(const StartOrder &Order, int Attempts);
   void sendStop(const TaskRun &Run, int Attempts);
   VmTarget target() const;
-  /// Notes whether an order was answered at all.
+  /// Records whether the last order got any answer.
   template <typename T> void recordAnswered(const Result<T> &Answer) {
     LastOrderUnanswered_ = !Answer;
   }
@@ -121,21 +126,21 @@
   bool LeaseExpiryReported_ = false;
   bool HoldInFlight_ = false;
   bool HoldScheduled_ = false;
-  /// Counts planned holds, so that only the last one comes about.
+  /// Number of the last scheduled hold; timers of earlier ones do nothing.
   std::int64_t HoldSchedule_ = 0;
-  /// The last order got no answer: its connection may have gone silent.
+  /// The last order got no answer, so that its connection may be dead.
   bool LastOrderUnanswered_ = false;
   int Failures_ = 0;
-  /// Failures after which the VM counts as silent, or is told of again.
+  /// Number of failures at which the VM is next reported as unreachable.
   int NextUnreachableReport_ = 0;
   std::int64_t Incarnation_ = 0;
   std::int64_t AcknowledgedEnd_ = 0;
   std::int64_t LastEnd_ = 0;
   TimePoint LastHoldSentAt_{};
-  /// The VM's clock, and when it was read here at the latest.
+  /// The VM's clock, and the local time at which the answer with it arrived.
   std::optional<milliseconds> VmClock_;
   TimePoint VmClockReadAt_{};
-  /// Starts that are neither answered for certain nor expired yet.
+  /// Starts that are neither definitely answered nor expired.
   std::set<TaskRun> PendingStarts_;
   std::set<TaskRun> PendingStops_;
   /// The latest end of a lease, by the VM's clock, that any order carried.
--- a/packages/fleet/src/AdviceDispatcher.cpp
+++ b/packages/fleet/src/AdviceDispatcher.cpp
@@ -8,23 +8,27 @@
 
 namespace {
 
-/// Calls that a daemon has under way for this pool; two quick ones, so that the
-/// way there and back costs nothing.
+/// Calls that a daemon may have in flight for this pool. Two for short
+/// decisions, so that the round trip of one overlaps the other.
 constexpr int MaxCallsPerDaemon = 1;
 constexpr int MaxShortCallsPerDaemon = 2;
-/// Questions that take less are answered between others: a part of the daemons
-/// is kept for them, since a call waits for those before it.
+/// Requests that take longer than this are kept off part of the daemons, since
+/// a call to the advisor waits for the calls before it: while any queue makes
+/// short decisions, one healthy daemon in ReservedDaemonDivisor serves only
+/// those.
 constexpr double MaxShortDecisionMs = 60;
 constexpr std::size_t ReservedDaemonDivisor = 3;
-/// A daemon that did not answer is left alone this long; doubles up to the
-/// last, which bounds how long after a cut the first question is asked.
+/// A daemon whose call failed is left out for this long. The delay doubles with
+/// each failure up to the maximum, which bounds how long after an outage the
+/// first request is sent.
 constexpr milliseconds MinFailedDaemonBackoff{300};
 constexpr milliseconds MaxFailedDaemonBackoff{1500};
-/// Another daemon is asked as well when the answer is this late. Shorter than
-/// the time to find out that a daemon is gone.
+/// A second daemon is asked as well when the answer is this late. Shorter than
+/// the time that it takes to detect a dead daemon.
 constexpr milliseconds HedgeDelay{150};
 constexpr int MaxAttempts = 4;
-/// Time beyond the advisor's own: links, and another pool's call before it.
+/// Time allowed for a call beyond the advisor's decision: the network, and a
+/// call of another pool that is served first.
 constexpr milliseconds CallOverhead{900};
 
 } // namespace
@@ -45,7 +49,7 @@
     Entry.Registered = Name == SelfName_ || Others.contains(Name);
   for (const auto &[Name, Row] : Others) {
     DaemonState &Entry = Daemons_[Name];
-    // A new life of the daemon has not failed yet.
+    // The failures were those of the daemon's earlier process.
     if (!(Entry.Daemon == Row)) {
       Entry.RetryAt = TimePoint{};
       Entry.Backoff = milliseconds(0);
@@ -78,7 +82,8 @@
   for (const auto &Entry : Daemons_)
     if (Entry.second.Registered && Entry.second.Backoff.count() == 0)
       Healthy.push_back(&Entry);
-  // Every pool's owner sees the daemons in the same order.
+  // Daemons are ordered by name, so that the owners of all pools reserve the
+  // same ones.
   const std::size_t Reserved =
       HasShortDecisions_ ? Healthy.size() / ReservedDaemonDivisor : 0;
   std::vector<std::string> Out;
@@ -89,7 +94,7 @@
             (ReservedForShort ? MaxShortCallsPerDaemon : MaxCallsPerDaemon) &&
         (ShortDecision || !ReservedForShort))
       Out.push_back(Name);
-    // Daemons that are kept for quick questions come first for those.
+    // Short decisions prefer the daemons that are reserved for them.
     if (ShortDecision && Index + 1 == Reserved && !Out.empty())
       return Out;
   }
@@ -106,7 +111,8 @@
 }
 
 void AdviceDispatcher::dispatch() {
-  // A call may fail at once and come back here; the outer call goes on then.
+  // A call may fail at once and re-enter dispatch(); the outer invocation then
+  // processes the queue again.
   DispatchAgain_ = true;
   if (Dispatching_)
     return;
@@ -120,7 +126,8 @@
   std::stable_sort(
       Queue_.begin(), Queue_.end(),
       [](const PendingRequestPtr &Left, const PendingRequestPtr &Right) {
-        // Room waits for those whose tickets are renewed.
+        // Renewals go first: capacity is kept free for steps whose tickets are
+        // renewed.
         return std::tuple(Left->Ask.Priority, !Left->Ask.Renewal) <
                std::tuple(Right->Ask.Priority, !Right->Ask.Renewal);
       });
@@ -135,7 +142,8 @@
     }
     const std::vector<std::string> Idle =
         idleDaemons(Request->Ask.ExpectedMs <= MaxShortDecisionMs);
-    // A daemon that failed gets a question that another one is asked as well.
+    // A failed daemon is probed with a request that is also sent to another one
+    // or stays queued.
     const std::string FailedDaemon = failedDaemonToProbe();
     if (!FailedDaemon.empty())
       send(FailedDaemon, Request);
@@ -144,10 +152,11 @@
     else
       send(Idle[NextDaemon_++ % Idle.size()], Request);
   }
-  // Calls that failed at once have put their questions back already.
+  // Calls that failed at once have already put their requests back into the
+  // queue.
   for (const PendingRequestPtr &Request : Waiting)
     enqueue(Request);
-  // The step may be asked about again later.
+  // The step may request advice again later.
   for (const StepName &Step : Obsolete)
     Done_(Step, Answer{Step, {}, {}, MonotonicClock_.now()});
 }
@@ -161,7 +170,7 @@
                             const PendingRequestPtr &Request) {
   DaemonState &Target = Daemons_[Name];
   ++Target.OpenCalls;
-  // A probe of a daemon that failed is no try of its own.
+  // Probes of a failed daemon do not count as attempts.
   Request->Attempts += Target.Backoff.count() == 0;
   ++Request->OpenCalls;
   const AskAdvice &Ask = Request->Ask;
--- a/packages/fleet/src/FleetDaemon.cpp
+++ b/packages/fleet/src/FleetDaemon.cpp
@@ -17,18 +17,19 @@
 
 namespace {
 
-/// A daemon that has not reached the store for this long can't accept jobs; the
-/// balancer sends callers to others.
+/// A daemon that has not reached the store for this long can't accept jobs. It
+/// reports itself as not ready, so that the load balancer sends clients to
+/// others.
 constexpr milliseconds StoreOutageUntilUnready{2500};
 constexpr milliseconds CheckInterval{500};
-/// VMs rewrite their entries often; changes are gathered for this long.
+/// VMs rewrite their entries often; changes are batched for this long.
 constexpr milliseconds VmBatchDelay{300};
-/// A stopping daemon keeps its front door open until the balancer has noticed
-/// that it is not ready: two checks a second apart.
+/// A stopping daemon keeps its frontend open until the load balancer has
+/// noticed that it is not ready, which takes two checks one second apart.
 constexpr milliseconds BalancerNoticeTime{2600};
-/// How often a stopping daemon looks whether all requests are answered.
+/// How often a stopping daemon checks whether all requests are answered.
 constexpr milliseconds DrainPollInterval{50};
-/// Kept back from the time that a stopping daemon has.
+/// Part of StopGracePeriod that is kept in reserve for the end of the shutdown.
 constexpr milliseconds StopMargin{700};
 constexpr const char *MetricsContentType = "text/plain; version=0.0.4";
 constexpr milliseconds WriteTimeout{1500};
@@ -38,7 +39,7 @@
   return HttpResponse{Status, {}, "", "text/plain"};
 }
 
-/// Keeps a table's rows by key and tells of changes.
+/// Keeps the values of a table's rows by key and calls back after each change.
 class RowMap final : public RowSink {
 public:
   explicit RowMap(std::function<void()> Changed)
@@ -144,7 +145,8 @@
   std::unique_ptr<HttpServer> PeerServer_;
   std::unique_ptr<HttpServer> MetricsServer_;
   std::vector<std::shared_ptr<TableFollower>> Followers_;
-  /// Only a pool's owner needs to know the VMs.
+  /// Exists only while this daemon owns a pool; the directory is not needed
+  /// otherwise.
   std::shared_ptr<TableFollower> VmFollower_;
   std::map<std::string, std::shared_ptr<PoolLease>, std::less<>> Leases_;
   std::map<std::string, std::shared_ptr<PoolOwner>, std::less<>> Owners_;
@@ -343,7 +345,7 @@
   RowTransaction Change;
   Change.Removals.push_back(RowName{std::string(DaemonTable), "", Self_.Name});
   Store_.commit(std::move(Change), WriteTimeout, [](const Result<RowCommit> &) {
-    // A row that stays only costs others a failed call.
+    // A row that remains costs other daemons only a failed call.
   });
   FrontendServer_->announceClose();
   Dependencies_.ControlLoop.after(BalancerNoticeTime, [this, Deadline] {
@@ -364,7 +366,7 @@
   for (const auto &[Service, Owner] : Owners_)
     Owner->close();
   Dependencies_.Events.record(EventId::DaemonStopped, Self_.Name);
-  // The last answers still have to leave the sockets.
+  // Leaves time to send the last answers.
   Dependencies_.ControlLoop.after(DrainPollInterval,
                                   [this] { Dependencies_.ControlLoop.stop(); });
 }
--- a/packages/fleet/src/FleetMetrics.cpp
+++ b/packages/fleet/src/FleetMetrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Milliseconds of a second, thousandths of a core.
+/// Milliseconds per second, and thousandths of a core per core.
 constexpr double ThousandthsPerUnit = 1000.0;
 
 const prometheus::Histogram::BucketBoundaries LatencyBuckets{
--- a/packages/fleet/src/JobFrontend.cpp
+++ b/packages/fleet/src/JobFrontend.cpp
@@ -10,33 +10,35 @@
 
 namespace {
 
-/// Kept back from a caller's patience for the answer's way.
+/// Part of the caller's timeout that is reserved for returning the answer.
 constexpr milliseconds ResponseMargin{150};
-/// Longest wait for one try of a transaction: two fit into the usual patience.
-/// Shorter ones would repeat calls to a store that is only slow.
+/// Timeout of one attempt of a transaction. Two attempts fit into the usual
+/// caller timeout; a shorter one would repeat calls to a store that is only
+/// slow.
 constexpr milliseconds WriteTimeout{1600};
 constexpr milliseconds ReadTimeout{1200};
 constexpr milliseconds OwnerTimeout{350};
 constexpr milliseconds RetryInterval{60};
-/// Longest time between two tries while no other call shows that the store
-/// answers.
+/// Longest interval between two attempts while no other call shows that the
+/// store responds.
 constexpr milliseconds MaxUnreachableRetryInterval{600};
-/// Share of a caller's patience for which a job is held while the store is
-/// away: enough for a blip. Callers who come back later wait no longer in all.
+/// Share of the caller's timeout during which a write is retried while the
+/// store is unreachable: enough to bridge a short interruption. Callers that
+/// retry later wait no longer in total.
 constexpr double RetryShare = 0.15;
-/// Told to callers who are refused since the store is away: outages last
-/// seconds.
+/// Retry-After for callers that are refused because the store is unreachable;
+/// outages last seconds.
 constexpr milliseconds StoreRetryAfter{2000};
 
-/// Queue and steps in short, as a log line has them.
+/// Summarizes a job's queue and steps for the event log.
 std::string describe(const JobRequest &Request) {
   std::string Out = Request.Queue;
   for (const StepPlan &Step : Request.Plan.Steps)
     Out += fmt::format(" {}x{}m/{}MB/{}g{}{}{}", Step.Tasks,
                        Step.PerTask.MilliCores, Step.PerTask.MemoryMb,
                        Step.PerTask.Accelerators, Step.Gang ? " gang" : "",
-                       Step.LongRunning ? " lasting" : "",
-                       Step.Fills ? " fills" : "");
+                       Step.LongRunning ? " long-running" : "",
+                       Step.Fills ? " best-effort" : "");
   return Out;
 }
 
@@ -52,12 +54,12 @@
 struct JobFrontend::Submission {
   JobRequest Request;
   TimePoint ReceivedAt;
-  /// The caller waits until then.
+  /// The answer must be given by this time.
   TimePoint Deadline;
-  /// A job that was certainly not accepted is refused after this.
+  /// A job that was certainly not accepted is refused after this time.
   TimePoint RetryUntil;
   SubmitDone Done;
-  /// An earlier try may have taken effect, or may do so yet.
+  /// An earlier attempt may have taken effect, or may still do so.
   bool Uncertain = false;
 };
 
@@ -104,7 +106,8 @@
                                     Result<RowCommit> Outcome) {
   const std::string &Job = Pending->Request.Plan.Id;
   if (Outcome) {
-    // A conflict means that the job is there already: it remains one job.
+    // A conflict means that the row exists already: the job was submitted
+    // before and is not duplicated.
     Context_.Events.record(Outcome->committed() ? EventId::JobAccepted
                                                 : EventId::JobReadBack,
                            Job, describe(Pending->Request));
@@ -113,8 +116,9 @@
   Pending->Uncertain = Pending->Uncertain ||
                        Outcome.error().Code == ErrorCode::WriteOutcomeUnknown;
   const TimePoint Now = Context_.MonotonicClock.now();
-  // What is uncertain is tried for as long as the caller waits, since nothing
-  // better can be told; what was certainly not accepted, for a part of it.
+  // An uncertain write is retried until the caller's deadline, since its
+  // outcome could only be reported as unknown. A write that certainly failed is
+  // retried for a part of that time only.
   if (Now < (Pending->Uncertain ? Pending->Deadline : Pending->RetryUntil))
     return writeWhenReachable(std::move(Pending), Now);
   if (Pending->Uncertain) {
@@ -140,8 +144,8 @@
   Context_.ControlLoop.after(RetryInterval, [this, Pending, FailedAt] {
     const TimePoint Now = Context_.MonotonicClock.now();
     const bool StoreReached = Context_.Store.lastContact() > FailedAt;
-    // Other calls show that the store is back; a try of each waiting caller
-    // would only add to its load.
+    // While the store is unreachable, other calls show when it is back; retries
+    // by every waiting caller would only add to its load.
     if (StoreReached || Now - FailedAt > MaxUnreachableRetryInterval ||
         Now >= (Pending->Uncertain ? Pending->Deadline : Pending->RetryUntil))
       writeRequest(Pending);
@@ -223,7 +227,7 @@
        Done = std::move(Done)](Result<std::optional<JobStage>> Stage) {
         if (Stage && *Stage)
           return Done(QueryResult<std::optional<JobStage>>::known(*Stage));
-        // The owner may not have heard of it yet; the store decides.
+        // The owner may not have learned of the job yet, so the store decides.
         readStage(Job, Deadline, Done);
       });
 }
--- a/packages/fleet/src/JobRows.cpp
+++ b/packages/fleet/src/JobRows.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-/// Follows the job's id in the key of its cancellation. It sorts behind the id
-/// and before the next one.
+/// Appended to a job's id to form the key of its cancellation. The result sorts
+/// after the id and before the next id.
 constexpr std::string_view CancelSuffix = "!";
-/// The store handles the transactions of one partition one after another. Read
-/// in full by a new owner, so that more would make takeovers slower.
+/// The store executes the transactions of one partition one after another, so
+/// that several partitions are needed. A new owner reads all of them, so that
+/// more would make takeovers slower.
 constexpr unsigned PartitionCount = 64;
 
-/// Ids are hexadecimal: their first two digits spread them evenly.
+/// Ids are hexadecimal; their first two digits distribute them evenly.
 std::string requestPartition(std::string_view Job) {
   unsigned Number = 0;
   std::from_chars(Job.data(), Job.data() + std::min<std::size_t>(Job.size(), 2),
--- a/packages/fleet/src/PoolLease.cpp
+++ b/packages/fleet/src/PoolLease.cpp
@@ -13,15 +13,16 @@
 
 constexpr milliseconds ReadTimeout{800};
 constexpr milliseconds AcquireTimeout{1000};
-/// How often a row is read that has not changed since the last look.
+/// Poll interval while the row has not changed since the last read.
 constexpr milliseconds UnchangedPollInterval{150};
-/// Standbys are spread over this time.
+/// Range of the delays by which standbys differ.
 constexpr std::int64_t StandbyOffsetSpreadMs = 400;
-/// A daemon that owns a pool already leaves the next one to others.
+/// Delay of a daemon's takeover for each pool that it owns already, so that
+/// other daemons come first.
 constexpr milliseconds DelayPerOwnedPool{600};
-/// A share of a core that carries a pool of the sizes of today, by the slopes
-/// in docs/CAPACITY.md. Daemons with less leave pools to others, the longer the
-/// less they have.
+/// Share of a core that is sufficient for a pool of the present size, by the
+/// slopes in docs/CAPACITY.md. A daemon with less delays its takeovers, the
+/// longer the less it has.
 constexpr double SufficientCpuShare = 0.25;
 constexpr double LowCpuDelayMs = 1000;
 constexpr double MinCpuShare = 0.05;
@@ -56,7 +57,7 @@
 }
 
 milliseconds PoolLease::pollDelay() const {
-  // A row that did not change since the last look may be about to lapse.
+  // The owner's lease may be about to expire.
   return Unchanged_ ? UnchangedPollInterval
                     : OwnerPollInterval + StandbyOffset_;
 }
@@ -98,7 +99,7 @@
     else
       Events_.record(EventId::RowUnreadable, Service_, Row.error().text());
   }
-  // The answer to this daemon's own write was lost.
+  // This daemon's own write succeeded, but its answer was lost.
   if (!Owner_.Incarnation.empty() && Owner_.Incarnation == Self_.Incarnation &&
       Owner_.Serial == 0)
     return handleAcquired(Version, AcquireSentAt_);
@@ -107,7 +108,8 @@
     LastVersion_ = Version;
     UnchangedSince_ = Now;
   }
-  // The holder's process has ended where this is its next life.
+  // A holder of the same name is an earlier process of this daemon, which has
+  // ended.
   const bool Vacant = Owner_.Holder.empty() || Owner_.Holder == Self_.Name;
   const milliseconds TakeoverDelay =
       standbyDelay() +
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -12,26 +12,28 @@
 
 namespace {
 
-/// Least time between two passes of the scheduler: events that come together
-/// are handled together.
+/// Least time between two passes of the scheduler, so that events that arrive
+/// together are handled together.
 constexpr milliseconds MinPassInterval{15};
 /// Passes take at most one part in this many of the time.
 constexpr int PassTimeDivisor = 4;
-/// A pass at least this often, for what becomes due without an event.
+/// Interval of periodic work. It includes a scheduler pass, for what becomes
+/// due without an event.
 constexpr milliseconds PeriodicWorkInterval{150};
-/// Pause between reads of new jobs, so that several come in one.
+/// Delay between reads of new jobs, so that one read returns several.
 constexpr milliseconds RequestBatchDelay{15};
 constexpr milliseconds ReadTimeout{1500};
-/// While nothing could be recorded for this long, nothing is placed: it would
-/// wait all the same, and its ticket would expire.
+/// Nothing is placed while no transaction has succeeded for this long, plus a
+/// multiple of the store's recent delay: starts would have to wait for the
+/// store, and their tickets would expire.
 constexpr milliseconds StoreStallThreshold{700};
 constexpr int StoreStallDelayFactor = 3;
-/// From the record of a start in the store until it is at its VM.
+/// Time from when a start is durable in the store until it reaches its VM.
 constexpr milliseconds StartSendDelay{40};
 constexpr milliseconds ReadRetryDelay{100};
 constexpr milliseconds CleanupInterval{10000};
 constexpr milliseconds LoadReportInterval{1000};
-/// Finished jobs stay readable this much longer than promised.
+/// Finished jobs remain readable this much longer than the retention time.
 constexpr milliseconds RetentionMargin{60000};
 
 PoolOptions poolOptions(const FleetSettings &Settings) {
@@ -101,10 +103,10 @@
     return Scheduler_->adviceFailed(Step);
   }
   if (!Answer->Asked.empty())
-    Context_.Events.record(EventId::AdviceCame, Step.Job,
-                           fmt::format("{}.{} good {} of {}", Step.Occurrence,
-                                       Step.Step, Answer->Allowed.size(),
-                                       Answer->Asked.size()));
+    Context_.Events.record(
+        EventId::AdviceCame, Step.Job,
+        fmt::format("{}.{} allowed {} of {}", Step.Occurrence, Step.Step,
+                    Answer->Allowed.size(), Answer->Asked.size()));
   const QueueTerms *Terms = Scheduler_->terms(Step.Job);
   const milliseconds ValidFor = Terms != nullptr && Terms->Advice
                                     ? Terms->Advice->ValidFor
@@ -133,7 +135,7 @@
     return;
   for (const auto &[Id, Link] : Links_)
     Link->close();
-  // What is recorded so far goes first; then the row becomes vacant.
+  // What has been submitted is made durable first; then the row becomes vacant.
   Writer_->whenCommitted([Self = shared_from_this()] {
     RowTransaction Change;
     const RowName Row = ownerRow(Self->Term_.Service);
@@ -144,8 +146,8 @@
     Self->close();
     Self->Context_.Store.commit(std::move(Change), ReadTimeout,
                                 [](const Result<RowCommit> &) {
-                                  // Without an answer a standby waits for the
-                                  // lease.
+                                  // If this write fails, a standby waits until
+                                  // the lease expires.
                                 });
   });
 }
@@ -356,11 +358,12 @@
   for (const BlockedStep &Each : Notes.Blocked)
     Context_.Events.record(
         EventId::StepBlocked, Each.Step.Job,
-        fmt::format("{}.{} waited_ms {} tasks {} vms good {} held {} usable {} "
-                    "ticket {} room {}",
-                    Each.Step.Occurrence, Each.Step.Step, Each.Waited.count(),
-                    Each.Waiting, Each.Good, Each.Held, Each.Usable,
-                    Each.Ticketed, Each.Roomy));
+        fmt::format(
+            "{}.{} waited_ms {} tasks {} vms allowed {} held {} usable {} "
+            "ticket {} room {}",
+            Each.Step.Occurrence, Each.Step.Step, Each.Waited.count(),
+            Each.Waiting, Each.Good, Each.Held, Each.Usable, Each.Ticketed,
+            Each.Roomy));
 }
 
 void PoolOwner::recordChanges() {
@@ -408,8 +411,8 @@
   Context_.Events.record(
       EventId::PoolLoad, Term_.Service,
       fmt::format("vms {} held {} jobs {} waiting {} placed {} running {} "
-                  "stopping {} strangers {} cpu {} of {} pass_ms {} "
-                  "write_ms {} questions {}",
+                  "stopping {} unknown {} cpu {} of {} pass_ms {} "
+                  "write_ms {} advice_requests {}",
                   Load.Vms, Load.HeldVms, Load.Jobs, Load.WaitingTasks,
                   Load.Placed, Load.Running, Load.Stopping, Load.Strangers,
                   Load.UsedCpu, Load.TotalCpu, LastPassDuration_.count(),
@@ -451,7 +454,7 @@
     Change.Removals = {requestRow(Job), cancelRow(Job)};
     Context_.Store.commit(std::move(Change), ReadTimeout,
                           [](const Result<RowCommit> &) {
-                            // A row that stays is removed by a later owner.
+                            // A row that remains is removed by a later owner.
                           });
     Entry = FinalStages_.erase(Entry);
   }
@@ -462,7 +465,7 @@
   if (Final != FinalStages_.end())
     return Final->second.Stage;
   const auto Stage = Scheduler_->stage(Job);
-  // A final stage is not told before it is recorded.
+  // A final stage is not reported before it is durable.
   if (Stage && isFinal(*Stage))
     return JobStage::Running;
   return Stage;
--- a/packages/fleet/src/PoolOwnerVms.cpp
+++ b/packages/fleet/src/PoolOwnerVms.cpp
@@ -1,4 +1,4 @@
-// A pool owner's VMs: which are held, and what they tell.
+// The part of PoolOwner that manages VM links and handles their events.
 #include "cuminroad/fleet/PoolOwner.h"
 
 #include <algorithm>
@@ -39,7 +39,8 @@
     const auto Found = Listed.find(Entry->first);
     const bool StillListed =
         Found != Listed.end() && Found->second.Service == Term_.Service;
-    // A VM whose entry has expired may be alive: it goes when its leases have.
+    // A VM whose entry has expired may still run tasks. It is removed when its
+    // leases have expired.
     if (StillListed || !Entry->second->leaseExpiryReported()) {
       ++Entry;
       continue;
@@ -50,7 +51,8 @@
     Context_.Events.record(EventId::VmGone, Entry->first, Term_.Service);
     Entry = Links_.erase(Entry);
   }
-  // VMs of an earlier owner's records that never were listed since.
+  // VMs that only the records of an earlier owner name, and that have never
+  // been listed since.
   if (Now < InheritedLeasesUntil_)
     return;
   for (const std::string &Vm : Scheduler_->occupiedVms())
@@ -70,7 +72,7 @@
   std::int64_t LastEnd = 0;
   for (const TaskEnd &End : Answer.Ends) {
     LastEnd = std::max(LastEnd, End.Number);
-    // Ends are listed again until they are acknowledged.
+    // A VM lists its ends again until they are acknowledged.
     if (End.Number <= Received.LastEnd)
       continue;
     Context_.Metrics.recordRunEnd(runEndName(End.How));
@@ -114,7 +116,7 @@
 void PoolOwner::onFenced(VmLink &Link) {
   Context_.Events.record(EventId::VmClaimRefused, Link.vm(),
                          fmt::format("epoch {}", Term_.Epoch));
-  // Later, since the link that calls is ended by it.
+  // Deferred, since it closes the link that is calling.
   Context_.ControlLoop.post(
       [Self = shared_from_this()] { Self->handleReplacement(); });
 }
--- a/packages/fleet/src/RunFormat.h
+++ b/packages/fleet/src/RunFormat.h
@@ -8,9 +8,9 @@
 
 namespace cuminroad {
 
-/// \returns JOB.OCCURRENCE.STEP.TASK#RUN, as log lines name a run.
+/// \returns JOB.OCCURRENCE.STEP.TASK#RUN, the form of a run in the event log.
 std::string formatRun(const TaskRun &Run);
-/// \returns the word of log lines and metrics for how a run ended.
+/// \returns the name in the event log and in metrics of how a run ended.
 std::string_view runEndName(RunEnd How);
 
 } // namespace cuminroad
--- a/packages/fleet/src/VmDirectory.cpp
+++ b/packages/fleet/src/VmDirectory.cpp
@@ -36,7 +36,7 @@
 }
 
 void VmDirectory::notifyListeners() {
-  // A listener may remove itself.
+  // A listener may remove itself while it is called.
   const auto Copy = Listeners_;
   for (const auto &[Number, Listener] : Copy)
     Listener();
--- a/packages/fleet/src/VmLink.cpp
+++ b/packages/fleet/src/VmLink.cpp
@@ -9,29 +9,31 @@
 
 namespace {
 
-/// How long a VM may wait for an end before it answers a hold.
+/// How long a VM may delay its answer to a hold while no task ends.
 constexpr milliseconds MaxEndWait{1000};
-/// Time for an answer beyond what the VM may wait: links and a busy VM.
+/// Timeout of a hold beyond the delay that the VM is allowed: time for the
+/// network and for a busy VM.
 constexpr milliseconds HoldAnswerTimeout{800};
-/// Pause between holds, so that ends that come together are told together.
+/// Interval between holds, so that tasks that end together are reported
+/// together.
 constexpr milliseconds HoldInterval{80};
-/// A hold is repeated after this even if the ends of the last one are not
-/// recorded yet, since the lease must go on.
+/// Interval to the next hold while ends of the last one are not yet durable.
+/// The lease must be renewed all the same.
 constexpr milliseconds UnacknowledgedHoldInterval{600};
-/// Delay before the first and the later repeats of a failed hold.
+/// Delay before a failed hold is repeated. The first repeat is sent at once.
 constexpr milliseconds HoldRetryDelay{250};
-/// Failures in a row after which the VM counts as silent.
+/// Failures in a row after which the VM is reported as unreachable.
 constexpr int FailuresUntilUnreachable = 2;
-/// A lease is granted this much shorter than the VM allows, since its clock is
+/// Leases are granted this much shorter than the VM allows, since its clock is
 /// only estimated here.
 constexpr milliseconds LeaseMargin{400};
-/// A VM's clock may run this much slow.
+/// Lowest rate of a VM's clock relative to the local one.
 constexpr double MinVmClockRate = 0.98;
 constexpr milliseconds LeaseExpiryMargin{150};
 constexpr milliseconds LeaseExpiryCheckInterval{100};
 constexpr milliseconds OrderTimeout{900};
-/// A start takes this long to its VM; it is not sent with a ticket that expires
-/// on the way.
+/// A start takes this long to reach its VM. It is not sent if its ticket would
+/// expire on the way.
 constexpr milliseconds TicketMargin{20};
 constexpr milliseconds OrderRetryDelay{200};
 constexpr int MaxStopAttempts = 6;
@@ -124,7 +126,7 @@
   case OrderOutcome::Fenced:
     return Listener_.onFenced(*this);
   case OrderOutcome::OtherInstance:
-    // Another VM has the address, so this one has ended.
+    // The address belongs to another VM, so that this one has ended.
     handleHoldFailure("other_instance");
     if (!LeaseExpiryReported_)
       reportLeaseExpired();
@@ -155,7 +157,8 @@
   Listener_.onReport(*this, Answer, SentAt);
   if (Closed_)
     return;
-  // The lease is extended by the next hold, since the clock is known now.
+  // The first hold only reads the VM's clock; the next one, sent at once,
+  // extends the lease.
   if (First)
     return scheduleHold(milliseconds(0));
   scheduleHold(LastEnd_ > AcknowledgedEnd_ ? UnacknowledgedHoldInterval
@@ -163,8 +166,8 @@
 }
 
 void VmLink::handleRestart() {
-  // Orders for the earlier life may reach this one, whose clock has just begun,
-  // so that no lease in them is over.
+  // Orders for the earlier incarnation may reach this one. Its clock has just
+  // started, so that the leases in those orders have not expired by it.
   LatestLeaseEnd_ = *VmClock_ + Options_.MaxLease;
   for (const TaskRun &Run : std::exchange(PendingStarts_, {}))
     stopRun(Run);
@@ -192,7 +195,7 @@
 }
 
 void VmLink::handleHoldFailure(std::string_view Reason) {
-  // Nothing new is placed there until it answers.
+  // No task is placed on the VM until it answers again.
   if (++Failures_ == 1) {
     NextUnreachableReport_ = FailuresUntilUnreachable;
     Listener_.onNoAnswer(*this);
@@ -258,7 +261,7 @@
   } else if (!PendingStarts_.contains(Order.Run)) {
     return;
   } else if (!Listener_.isWanted(*this, Order.Run)) {
-    // The stop, or the lapse of the lease, settles it.
+    // The answer to the stop, or the expiry of the lease, completes the start.
     PendingStarts_.erase(Order.Run);
     return;
   }
@@ -275,7 +278,8 @@
   const auto Delay = std::chrono::duration_cast<milliseconds>(
       whenVmClockHasPassed(Order.LeaseUntil) - MonotonicClock_.now());
   ControlLoop_.after(Delay, [Self = shared_from_this(), Run = Order.Run] {
-    // The VM accepts it no more. If it did, its lists tell.
+    // The VM can't accept the start any more. If it did accept it, its reports
+    // list the run.
     if (!Self->Closed_ && Self->PendingStarts_.contains(Run))
       Self->completeStart(Run, StartOutcome::OldRun, "no_certain_answer");
   });
@@ -293,8 +297,8 @@
     if (Answer.error().Code == ErrorCode::ConnectFailed && Attempts == 0)
       return completeStart(Order.Run, StartOutcome::Refused,
                            errorInfo(Answer.error().Code).Name);
-    // It may have been carried out, or may be later; the same run again is
-    // harmless and settles it.
+    // The order may have been carried out, or may still be. Repeating the same
+    // run is harmless and determines the outcome.
     return retryStart(Order, Attempts);
   }
   if (Answer->VmClock)
@@ -303,8 +307,9 @@
     return Listener_.onFenced(*this);
   StartOutcome Outcome = startOutcome(Answer->Outcome);
   if (Attempts > 0 && Outcome != StartOutcome::Accepted) {
-    // An earlier try may have been carried out. Once the order has expired it
-    // can't be any more, and the VM's lists tell; until then it is repeated.
+    // An earlier attempt may have been carried out. After the order has expired
+    // this can't happen any more, and the VM's reports show whether it did;
+    // until then the start is repeated.
     const bool Expired = Answer->Outcome == OrderOutcome::OldRun ||
                          Answer->Outcome == OrderOutcome::LeaseOver ||
                          Answer->Outcome == OrderOutcome::TicketExpired;
@@ -345,7 +350,7 @@
                   Self->PendingStops_.erase(Run);
                   return Self->Listener_.onStopAnswered(*Self, Run);
                 }
-                // Asked for again while the VM lists the run.
+                // The run is stopped again if the VM still lists it.
                 if (Attempts + 1 >= MaxStopAttempts) {
                   Self->PendingStops_.erase(Run);
                   return;
--- a/packages/fleet/tests/AdviceDispatcherTest.cpp
+++ b/packages/fleet/tests/AdviceDispatcherTest.cpp
@@ -1,4 +1,4 @@
-// Questions to the placement advisor while daemons and the advisor fail.
+// Requests for placement advice while daemons and the advisor fail.
 
 #include <boost/test/unit_test.hpp>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Fails while it is away; names all VMs otherwise.
+/// Fails while Failing is set; allows all VMs otherwise.
 class FlakyAdvisor final : public PlacementAdvisor {
 public:
   explicit FlakyAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
@@ -67,9 +67,10 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(answersSoonAfterTheAdvisorIsBack) {
-  // Found as a step that got no advice for 8.8 s after a cut of 5 s: the pause
-  // after failures had doubled to 8 s for every daemon.
+BOOST_AUTO_TEST_CASE(adviceArrivesSoonAfterTheAdvisorRecovers) {
+  // Guards against a backoff that outlasts an outage: after an outage of 5 s, a
+  // step got no advice for 8.8 s, since the backoff had doubled to 8 s for
+  // every daemon.
   for (int OutageMs = 1000; OutageMs <= 12000; OutageMs += 500) {
     Fixture Setup;
     Setup.Dispatcher->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
@@ -80,14 +81,14 @@
     Setup.Advisor.Failing = false;
     const TimePoint RecoveredAt = Setup.ControlLoop.Time.now();
     Setup.ControlLoop.runFor(milliseconds(12000));
-    BOOST_REQUIRE_MESSAGE(Setup.AnswerReceivedAt, OutageMs << " ms away");
+    BOOST_REQUIRE_MESSAGE(Setup.AnswerReceivedAt, OutageMs << " ms outage");
     BOOST_CHECK_MESSAGE(*Setup.AnswerReceivedAt - RecoveredAt <=
                             milliseconds(2000),
-                        OutageMs << " ms away");
+                        OutageMs << " ms outage");
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(droppedQuestionIsAnsweredWithNothing, Fixture) {
+BOOST_FIXTURE_TEST_CASE(requestThatIsNotNeededGetsAnEmptyAnswer, Fixture) {
   Needed = false;
   Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
   ControlLoop.runFor(milliseconds(1000));
@@ -96,7 +97,7 @@
   BOOST_CHECK_EQUAL(Advisor.Calls, 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(failedPeerIsReplacedByAnother, Fixture) {
+BOOST_FIXTURE_TEST_CASE(failedPeerIsReplacedByAnotherDaemon, Fixture) {
   // All calls to peers fail at once.
   Dispatcher->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
   Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
--- a/packages/fleet/tests/JobFrontendTest.cpp
+++ b/packages/fleet/tests/JobFrontendTest.cpp
@@ -1,4 +1,4 @@
-// What callers are told of their jobs while the store fails.
+// Answers to clients about their jobs while the store fails.
 
 #include <map>
 #include <random>
@@ -36,7 +36,7 @@
         Frontend(Context, Pools, Owners) {
     Queue.Name = "q";
     Queue.Service = TestService;
-    // The store has answered before.
+    // The store has answered a call before the test begins.
     ControlLoop.runFor(milliseconds(1000));
   }
 
@@ -107,7 +107,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(sameJobTwiceIsOneJob, Fixture) {
+BOOST_FIXTURE_TEST_CASE(resubmittedJobIsNotDuplicated, Fixture) {
   submit("j");
   ControlLoop.runFor(CallerTimeout);
   BOOST_REQUIRE(isWritten("j"));
@@ -126,14 +126,14 @@
   BOOST_REQUIRE_EQUAL(Replies, 1);
   BOOST_CHECK(LastReply.Outcome == SubmitOutcome::NotAccepted);
   BOOST_CHECK(LastReply.RetryAfter > milliseconds(0));
-  // A caller who is refused is told so soon.
+  // Refusals are sent well before the caller's timeout.
   BOOST_CHECK(ReplyTime < CallerTimeout / 2);
   setStoreFate({StoreFate::Answered, {}});
   ControlLoop.runFor(4 * CallerTimeout);
   BOOST_CHECK(!isWritten("j"));
 }
 
-BOOST_FIXTURE_TEST_CASE(blipOfTheStoreIsNotSeen, Fixture) {
+BOOST_FIXTURE_TEST_CASE(shortStoreOutageIsNotVisibleToCallers, Fixture) {
   setStoreFate({StoreFate::Refused, {}});
   submit("j");
   ControlLoop.runFor(milliseconds(200));
@@ -143,7 +143,7 @@
   BOOST_CHECK(isWritten("j"));
 }
 
-BOOST_FIXTURE_TEST_CASE(lostAnswerIsAskedForAgain, Fixture) {
+BOOST_FIXTURE_TEST_CASE(writeWithALostAnswerIsRetried, Fixture) {
   setStoreFate({StoreFate::LostAfter, {}});
   submit("j");
   ControlLoop.runFor(milliseconds(100));
@@ -153,8 +153,8 @@
   BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
 }
 
-BOOST_FIXTURE_TEST_CASE(whatMayBeWrittenIsNotCalledRefused, Fixture) {
-  // The first try takes effect later; all others are refused.
+BOOST_FIXTURE_TEST_CASE(possiblyWrittenJobIsNotReportedAsRefused, Fixture) {
+  // The first attempt takes effect late; all others are refused.
   int Calls = 0;
   Store.Decide = [&Calls] {
     return Calls++ == 0 ? StoreFate{StoreFate::Late, milliseconds(2500)}
@@ -168,7 +168,7 @@
   BOOST_CHECK(isWritten("j"));
 }
 
-BOOST_AUTO_TEST_CASE(answersAreTrueWhateverTheStoreDoes) {
+BOOST_AUTO_TEST_CASE(repliesMatchTheStoreUnderRandomFaults) {
   for (unsigned Seed = 1; Seed <= 400; ++Seed) {
     Fixture Setup;
     std::mt19937 Random(Seed);
@@ -188,7 +188,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(cancellingTellsWhetherThereIsSuchAJob, Fixture) {
+BOOST_FIXTURE_TEST_CASE(cancelReportsWhetherTheJobExists, Fixture) {
   BOOST_CHECK(cancel("j") == std::optional<bool>(false));
   BOOST_CHECK(Rows.find(cancelRow("j")) == nullptr);
   submit("j");
@@ -200,7 +200,7 @@
   BOOST_CHECK_EQUAL(Rows.find(cancelRow("j"))->Version, Version);
 }
 
-BOOST_FIXTURE_TEST_CASE(cancellingWithoutTheStoreIsUnknown, Fixture) {
+BOOST_FIXTURE_TEST_CASE(cancelWithoutTheStoreIsUnknown, Fixture) {
   submit("j");
   ControlLoop.runFor(CallerTimeout);
   setStoreFate({StoreFate::Refused, {}});
@@ -213,7 +213,7 @@
   submit("j");
   ControlLoop.runFor(CallerTimeout);
   BOOST_CHECK(stage("j") == std::optional(std::optional(JobStage::Queued)));
-  // An owner who can't be reached makes no difference.
+  // An owner that can't be reached does not change the answer.
   Owners.Known = true;
   Owners.Row.PeerAddress = "b:1";
   JobProgress Progress;
@@ -227,7 +227,7 @@
   BOOST_CHECK(stage("j") == std::nullopt);
 }
 
-BOOST_FIXTURE_TEST_CASE(lengthOfAQueueIsUnknownWithoutItsOwner, Fixture) {
+BOOST_FIXTURE_TEST_CASE(queueLengthIsUnknownWithoutTheOwner, Fixture) {
   for (const bool Known : {false, true}) {
     Owners.Known = Known;
     Owners.Row.PeerAddress = "b:1";
--- a/packages/fleet/tests/PoolTestSupport.cpp
+++ b/packages/fleet/tests/PoolTestSupport.cpp
@@ -12,7 +12,7 @@
   std::vector<AdviceTicket> Allowed;
   for (const std::string &Vm : Vms)
     Allowed.push_back(AdviceTicket{Vm, Step.Job});
-  // One call in a few is slow, so that others wait behind it.
+  // One call in four is slow, so that others wait behind it.
   const milliseconds Delay(++Calls_ % 4 == 0 ? 300 : 20);
   ControlLoop_.after(Delay, [Allowed, Done] { Done(Allowed); });
 }
--- a/packages/fleet/tests/PoolTestSupport.h
+++ b/packages/fleet/tests/PoolTestSupport.h
@@ -34,7 +34,7 @@
   int pending(std::string_view, std::string_view) const override { return 0; }
 };
 
-/// Names every VM as good, after a while.
+/// Allows every VM, after a delay.
 class AllowAllAdvisor final : public PlacementAdvisor {
 public:
   explicit AllowAllAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
@@ -46,7 +46,8 @@
   int Calls_ = 0;
 };
 
-/// A VM's entry is the number of tasks that it has room for.
+/// Test formats of rows: the value of a VM's row is the number of tasks that
+/// fit on it.
 class TestFormats final : public PlatformFormats {
 public:
   std::string configTable() const override { return "op"; }
@@ -60,19 +61,19 @@
 };
 
 inline constexpr std::string_view TestService = "pool";
-/// Size of the trial's tasks; a VM has room for a few of them.
+/// Size of the tests' tasks; a few of them fit on a VM.
 inline constexpr Capacity TestTaskSize{1000, 100, 0};
 
-/// A daemon that may own the trial's pool, without ports and peers.
+/// A daemon that may own the test's pool, without ports and peers.
 class TestDaemon {
 public:
   TestDaemon(std::string Name, FakeLoop &ControlLoop, FakeRows &Rows,
              FakeVms &Vms, const QueueTerms &Queue);
   ~TestDaemon();
 
-  /// The process ends without a word, and another life of it begins.
+  /// Ends the process without a graceful shutdown and starts a new one.
   void restart();
-  /// The process ends.
+  /// Ends the process without a graceful shutdown.
   void kill();
   bool owns() const { return Owner_ && Owner_->loaded(); }
   const PoolOwner *owner() const { return Owner_.get(); }
--- a/packages/fleet/tests/TakeoverTest.cpp
+++ b/packages/fleet/tests/TakeoverTest.cpp
@@ -1,5 +1,6 @@
-// Two daemons, one pool: jobs through lost and late calls, cuts and kills, and
-// the history that the VMs saw.
+// Two daemons share one pool. Jobs run through lost and late calls, lost
+// connections and killed daemons; the history recorded by the VMs is then
+// checked.
 
 #include <map>
 #include <random>
@@ -44,7 +45,7 @@
   return Out;
 }
 
-/// What may go wrong in a trial, and for how much of it.
+/// The kinds of faults that a scenario injects.
 struct ScenarioFaults {
   bool Store = false;
   bool Orders = false;
@@ -88,7 +89,7 @@
     }
     FaultsOver_ = true;
     UnreachableVms_.clear();
-    // Long enough for all the work that is left.
+    // Long enough to finish all remaining jobs.
     ControlLoop_.runFor(
         milliseconds(Faults_.SplitReachability ? 150000 : 60000));
   }
@@ -104,19 +105,21 @@
         continue;
       }
       BOOST_CHECK_MESSAGE(!Running.contains(Task),
-                          "runs twice: " << Task.Step.Job);
+                          "two runs at once: " << Task.Step.Job);
       Running[Task] = {Event.Vm, Event.Run};
       BOOST_CHECK_LE(++OnVm[Event.Vm], TasksPerVm);
       if (Task.Step.Step == 1)
-        BOOST_CHECK_MESSAGE(firstStepDone(Task.Step.Job, Event.At),
-                            "started too early: " << Task.Step.Job);
+        BOOST_CHECK_MESSAGE(
+            firstStepDone(Task.Step.Job, Event.At),
+            "started before the first step was done: " << Task.Step.Job);
     }
     BOOST_CHECK(Running.empty());
     for (const auto &[Task, DoneAt] : Vms_.AcknowledgedDone)
       for (const RunEvent &Event : Vms_.History)
         BOOST_CHECK_MESSAGE(!Event.Start || Event.At <= DoneAt ||
                                 !(Event.Run.Task == Task),
-                            "started after it was done: " << Task.Step.Job);
+                            "started again after its success was acknowledged: "
+                                << Task.Step.Job);
     for (const auto &[Job, Plan] : Jobs_)
       checkJob(Job, Plan);
   }
@@ -199,7 +202,7 @@
 
   void checkJob(const std::string &Job, const JobPlan &Plan) const {
     const StoredRow *Row = Rows_.find(progressRow(TestService, Job));
-    BOOST_REQUIRE_MESSAGE(Row != nullptr, "never begun: " << Job);
+    BOOST_REQUIRE_MESSAGE(Row != nullptr, "no progress recorded: " << Job);
     const auto Progress = decodeProgress(Row->Value);
     BOOST_REQUIRE(Progress);
     BOOST_CHECK_MESSAGE(isFinal(Progress->Stage),
@@ -238,13 +241,13 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(calm) { runScenarios(1, 4, ScenarioFaults{}); }
+BOOST_AUTO_TEST_CASE(noFaults) { runScenarios(1, 4, ScenarioFaults{}); }
 
-BOOST_AUTO_TEST_CASE(storeLosesDelaysAndRefuses) {
+BOOST_AUTO_TEST_CASE(storeCallsAreLostDelayedOrRefused) {
   runScenarios(101, 115, ScenarioFaults{true, false, false, false, false});
 }
 
-BOOST_AUTO_TEST_CASE(ordersAreLostAndLate) {
+BOOST_AUTO_TEST_CASE(ordersAreLostOrDelayed) {
   runScenarios(201, 215, ScenarioFaults{false, true, false, false, false});
 }
 
@@ -252,7 +255,7 @@
   runScenarios(301, 315, ScenarioFaults{false, false, true, false, false});
 }
 
-BOOST_AUTO_TEST_CASE(vmsAreCutOff) {
+BOOST_AUTO_TEST_CASE(vmsAreUnreachable) {
   runScenarios(401, 415, ScenarioFaults{false, false, false, true, false});
 }
 
@@ -260,6 +263,6 @@
   runScenarios(601, 615, ScenarioFaults{false, false, false, false, true});
 }
 
-BOOST_AUTO_TEST_CASE(everythingAtOnce) {
+BOOST_AUTO_TEST_CASE(allFaultsCombined) {
   runScenarios(501, 530, ScenarioFaults{true, true, true, true, false});
 }
--- a/packages/fleet/tests/VmLinkTest.cpp
+++ b/packages/fleet/tests/VmLinkTest.cpp
@@ -1,4 +1,4 @@
-// When a VM's leases count as lapsed, and how starts are settled.
+// When a VM's leases count as expired, and how starts are completed.
 
 #include <boost/test/unit_test.hpp>
 
@@ -12,7 +12,7 @@
 
 const TaskRun Run{{{"j", 0, 0}, 0}, 1};
 
-/// A link to one VM, and what it told.
+/// A link to one VM; records the events of the link.
 struct Fixture : VmLinkListener {
   Fixture() : Vms(ControlLoop), Calls(Vms, ControlLoop) { Vms.add("a", 1); }
 
@@ -59,7 +59,7 @@
   TimePoint leaseLimit() const override { return TimePoint::max(); }
 
   FakeLoop ControlLoop;
-  /// How long it takes to record an end.
+  /// Delay after which an end is acknowledged as durable.
   milliseconds RecordingDelay{0};
   FakeVms Vms;
   FakeVmCalls Calls;
@@ -81,7 +81,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(vmNeverReachedHoldsUntilInheritedLeasesEnd, Fixture) {
+BOOST_FIXTURE_TEST_CASE(unreachedVmExpiresOnlyAfterInheritedLeases, Fixture) {
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
@@ -92,7 +92,8 @@
   BOOST_CHECK(*LeaseExpiredAt - Begin >= InheritedLeaseWait);
 }
 
-BOOST_FIXTURE_TEST_CASE(cutVmLapsesAfterItsLeaseAndNotBefore, Fixture) {
+BOOST_FIXTURE_TEST_CASE(unreachableVmExpiresAfterItsLeaseAndNotBefore,
+                        Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
   Link->startRun(startOf(), "spec");
@@ -107,14 +108,14 @@
   ControlLoop.runFor(TaskLease * 3);
   BOOST_CHECK(!UnreachableAttempts.empty());
   BOOST_REQUIRE(LeaseExpiredAt);
-  // The VM ended the run by itself, before the link counted it as ended.
+  // The VM ended the run itself, before the link reported the lease as expired.
   const RunEvent &End = Vms.History.back();
   BOOST_REQUIRE(!End.Start);
   BOOST_CHECK(End.How == RunEnd::Lapsed);
   BOOST_CHECK(End.At <= *LeaseExpiredAt);
 }
 
-BOOST_FIXTURE_TEST_CASE(lostAnswerIsSettledByARepeat, Fixture) {
+BOOST_FIXTURE_TEST_CASE(startWithALostAnswerIsCompletedByARepeat, Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
   int Orders = 0;
@@ -124,7 +125,8 @@
   Link->startRun(startOf(), "spec");
   ControlLoop.runFor(milliseconds(5000));
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
-  // The run is over by then: not a refusal, since it was carried out.
+  // The run has ended by then. The start is not reported as refused, since it
+  // was carried out.
   BOOST_CHECK(Outcomes[0] == StartOutcome::OldRun);
 }
 
@@ -138,7 +140,7 @@
   BOOST_CHECK_EQUAL(Calls.Starts, Before);
 }
 
-BOOST_FIXTURE_TEST_CASE(newerOwnerEndsTheLink, Fixture) {
+BOOST_FIXTURE_TEST_CASE(newerOwnerFencesTheLink, Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
   Vms.hold(VmTarget{"a", "a:1", 2, false}, HoldOrder{});
@@ -146,7 +148,7 @@
   BOOST_CHECK(Fenced);
 }
 
-BOOST_FIXTURE_TEST_CASE(restartedVmIsReportedWithItsNewLife, Fixture) {
+BOOST_FIXTURE_TEST_CASE(restartedVmIsReportedWithItsNewIncarnation, Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
   Vms.restart("a", 7);
@@ -154,9 +156,10 @@
   BOOST_CHECK_EQUAL(LastAnswer.Incarnation, 7);
 }
 
-BOOST_FIXTURE_TEST_CASE(startThatIsNeverAnsweredForCertainExpires, Fixture) {
-  // Found as tasks that waited for 30 s: the first try timed out, and the VM
-  // refused each repeat as unhealthy.
+BOOST_FIXTURE_TEST_CASE(startWithoutADefiniteAnswerExpires, Fixture) {
+  // Guards against tasks that wait for 30 s: the first attempt timed out, and
+  // the VM refused each repeat as unhealthy, so that the start was never
+  // completed.
   connect();
   ControlLoop.runFor(milliseconds(500));
   bool First = true;
@@ -169,7 +172,7 @@
   ControlLoop.runFor(TaskLease * 2);
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Outcomes[0] == StartOutcome::OldRun);
-  // Nothing arrives after that.
+  // No start is sent after that.
   const int Sent = Calls.Starts;
   Calls.Unhealthy = false;
   ControlLoop.runFor(TaskLease * 2);
@@ -178,12 +181,12 @@
   BOOST_CHECK(Vms.History.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(stopIsAskedForAgainAfterAnUnhealthyTime, Fixture) {
+BOOST_FIXTURE_TEST_CASE(stopCanBeSentAgainAfterTheVmWasUnhealthy, Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
   Calls.Unhealthy = true;
   Link->stopRun(Run);
-  // The same stop under way is not doubled.
+  // A stop that is already pending is not sent twice.
   Link->stopRun(Run);
   ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Stopped, 0);
@@ -193,14 +196,15 @@
   BOOST_CHECK_EQUAL(Stopped, 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(unhealthyVmIsAskedOnTheSameConnection, Fixture) {
-  // Found as VMs that took no more connections: each repeat left one open.
+BOOST_FIXTURE_TEST_CASE(holdsToAnUnhealthyVmReuseTheConnection, Fixture) {
+  // Guards against VMs that run out of connections: each repeated hold opened a
+  // new one and left the old one open.
   connect();
   ControlLoop.runFor(milliseconds(500));
   Calls.HoldsUnhealthy = true;
   ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Calls.FreshHolds, 0);
-  // A connection that has gone silent is not used again.
+  // After an unanswered order, a new connection is opened.
   Calls.HoldsUnhealthy = false;
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
@@ -209,8 +213,9 @@
   BOOST_CHECK_GE(Calls.FreshHolds, 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(silenceIsToldAtDoublingsAndItsEndOnce, Fixture) {
-  // One line at its begin does not show that a VM is silent to the end.
+BOOST_FIXTURE_TEST_CASE(failuresAreReportedAtDoublingCountsAndRecoveryOnce,
+                        Fixture) {
+  // A single report at the beginning would not show that a VM never recovers.
   connect();
   ControlLoop.runFor(milliseconds(500));
   BOOST_CHECK_EQUAL(ReachableReports, 1);
@@ -225,9 +230,9 @@
   BOOST_CHECK_EQUAL(ReachableReports, 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(failedHoldsAreRepeatedAtOnePace, Fixture) {
-  // An end that was acknowledged while a hold was planned left a timer more,
-  // and each of them went on asking the VM.
+BOOST_FIXTURE_TEST_CASE(failedHoldsAreRepeatedAtAFixedInterval, Fixture) {
+  // Guards against duplicate timers: an end that was acknowledged while a hold
+  // was scheduled left a second timer, and each of them kept sending holds.
   RecordingDelay = milliseconds(40);
   connect();
   ControlLoop.runFor(milliseconds(500));
@@ -240,14 +245,15 @@
   ControlLoop.runFor(milliseconds(3000));
   const int Before = Calls.Holds;
   ControlLoop.runFor(milliseconds(10000));
-  // Every 250 ms.
+  // Failed holds are repeated every 250 ms.
   BOOST_CHECK_LE(Calls.Holds - Before, 40);
   BOOST_CHECK_GE(Calls.Holds - Before, 30);
 }
 
-BOOST_FIXTURE_TEST_CASE(openStartIsStoppedInTheNewLifeOfAVm, Fixture) {
-  // Found by the soak: an order meant for the earlier life may be carried out
-  // in the new one, whose clock has just begun, seconds later.
+BOOST_FIXTURE_TEST_CASE(pendingStartIsStoppedInTheNewIncarnation, Fixture) {
+  // An order for a VM's earlier incarnation can be carried out seconds later by
+  // the new one, since its clock has just started and the order's lease has not
+  // expired by it.
   connect();
   ControlLoop.runFor(milliseconds(500));
   Calls.Decide = [](const std::string &) {
@@ -261,7 +267,7 @@
   BOOST_CHECK(Vms.History.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(restartedVmMayHoldTheLongestLease, Fixture) {
+BOOST_FIXTURE_TEST_CASE(restartedVmIsAssumedToHoldTheLongestLease, Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
   Vms.restart("a", 7);
