--- a/packages/fleet/include/cuminroad/fleet/QueueRegistry.h
+++ b/packages/fleet/include/cuminroad/fleet/QueueRegistry.h
@@ -13,7 +13,7 @@
 public:
   /// \returns whether \p Config is newer than the contracts in force.
   bool apply(QueueConfig Config);
-  bool known() const { return Config_.Version > 0; }
+  bool loaded() const { return Config_.Version > 0; }
   const QueueConfig &config() const { return Config_; }
   /// \returns the route with the longest prefix of \p Path on \p Host, or null.
   /// The pointer is valid until the next apply().
--- a/packages/fleet/include/cuminroad/fleet/VmDirectory.h
+++ b/packages/fleet/include/cuminroad/fleet/VmDirectory.h
@@ -24,11 +24,11 @@
   void rowsChanged(std::vector<StoredRow> Rows) override;
 
   const std::map<std::string, VmEntry> &entries() const { return Entries_; }
-  bool known() const { return Known_; }
+  bool loaded() const { return Loaded_; }
   /// Discards the entries when they are no longer kept up to date.
   void clear() {
     Entries_.clear();
-    Known_ = false;
+    Loaded_ = false;
   }
   /// Adds a listener that is called after each change. \returns the number to
   /// pass to removeListener().
@@ -44,7 +44,7 @@
   std::map<std::string, VmEntry> Entries_;
   std::map<int, std::function<void()>> Listeners_;
   int NextListener_ = 0;
-  bool Known_ = false;
+  bool Loaded_ = false;
 };
 
 } // namespace cuminroad
--- a/packages/fleet/src/FleetDaemon.cpp
+++ b/packages/fleet/src/FleetDaemon.cpp
@@ -226,7 +226,7 @@
                                 Config.error().text());
     return;
   }
-  const bool First = !Queues_.known();
+  const bool First = !Queues_.loaded();
   if (!Queues_.apply(std::move(*Config)))
     return;
   Dependencies_.Events.record(EventId::ConfigApplied, Self_.Name,
@@ -316,14 +316,14 @@
 }
 
 bool FleetDaemonImpl::ready() const {
-  return Queues_.known() && !Stopping_ && !StoreUnreachable_;
+  return Queues_.loaded() && !Stopping_ && !StoreUnreachable_;
 }
 
 void FleetDaemonImpl::checkStore() {
   const bool Unreachable =
       Dependencies_.MonotonicClock.now() - Store_.lastContact() >
       StoreOutageUntilUnready;
-  if (Unreachable != StoreUnreachable_ && Queues_.known())
+  if (Unreachable != StoreUnreachable_ && Queues_.loaded())
     Dependencies_.Events.record(
         Unreachable ? EventId::StoreLost : EventId::StoreBack, Self_.Name);
   StoreUnreachable_ = Unreachable;
--- a/packages/fleet/src/PoolOwnerVms.cpp
+++ b/packages/fleet/src/PoolOwnerVms.cpp
@@ -11,7 +11,7 @@
 namespace cuminroad {
 
 void PoolOwner::syncVms() {
-  if (Closed_ || !Context_.Directory.known())
+  if (Closed_ || !Context_.Directory.loaded())
     return;
   for (const auto &[Id, Entry] : Context_.Directory.entries()) {
     if (Entry.Service != Term_.Service)
--- a/packages/fleet/src/VmDirectory.cpp
+++ b/packages/fleet/src/VmDirectory.cpp
@@ -6,7 +6,7 @@
   Entries_.clear();
   for (const StoredRow &Row : Rows)
     applyRow(Row);
-  Known_ = true;
+  Loaded_ = true;
   notifyListeners();
 }
 
--- a/packages/fleet/src/VmLink.cpp
+++ b/packages/fleet/src/VmLink.cpp
@@ -13,7 +13,7 @@
 constexpr milliseconds MaxEndWait{1000};
 /// Timeout of a hold beyond the delay that the VM is allowed: time for the
 /// network and for a busy VM.
-constexpr milliseconds HoldAnswerTimeout{800};
+constexpr milliseconds HoldAnswerMargin{800};
 /// Interval between holds, so that tasks that end together are reported
 /// together.
 constexpr milliseconds HoldInterval{80};
@@ -107,7 +107,7 @@
     if (LastEnd_ == AcknowledgedEnd_)
       Order.Wait = MaxEndWait;
   }
-  Calls_.hold(target(), Order, Order.Wait + HoldAnswerTimeout,
+  Calls_.hold(target(), Order, Order.Wait + HoldAnswerMargin,
               [Self = shared_from_this(),
                SentAt = LastHoldSentAt_](Result<HoldAnswer> Answer) {
                 Self->HoldInFlight_ = false;
