--- a/packages/fleet/include/cuminroad/fleet/FleetDaemon.h
+++ b/packages/fleet/include/cuminroad/fleet/FleetDaemon.h
@@ -7,10 +7,10 @@
 #include "cuminroad/base/Clock.h"
 #include "cuminroad/base/EventLog.h"
 #include "cuminroad/fleet/FleetSettings.h"
-#include "cuminroad/fleet/JobDoor.h"
+#include "cuminroad/fleet/JobFrontend.h"
 #include "cuminroad/fleet/PlacementAdvisor.h"
 #include "cuminroad/fleet/PlatformFormats.h"
-#include "cuminroad/fleet/QueueBook.h"
+#include "cuminroad/fleet/QueueRegistry.h"
 #include "cuminroad/fleet/VmCalls.h"
 #include "cuminroad/net/HttpClient.h"
 #include "cuminroad/net/Loop.h"
@@ -19,13 +19,13 @@
 
 namespace cuminroad {
 
-/// What a fleet daemon is built on; all of it outlives the daemon.
-struct FleetParts {
+/// Dependencies of a fleet daemon. All of them outlive the daemon.
+struct FleetDependencies {
   FleetSettings Settings;
-  const Clock &Time;
-  const WallClock &Wall;
+  const Clock &MonotonicClock;
+  const WallClock &SystemClock;
   EventLog &Events;
-  RunnableLoop &Home;
+  RunnableLoop &ControlLoop;
   HttpClient &Client;
   RowStore &Store;
   VmCalls &Vms;
@@ -33,24 +33,26 @@
   const PlatformFormats &Formats;
 };
 
-/// Makes the handler of callers' requests.
-using FrontHandlerMaker =
-    std::function<HttpHandler(const QueueBook &Queues, JobDoor &Door)>;
+/// Creates the handler of client requests.
+using RequestHandlerFactory = std::function<HttpHandler(
+    const QueueRegistry &Queues, JobFrontend &Frontend)>;
 
-/// A daemon of the fleet: a front door for callers, and the owner of those
-/// pools that it holds the lease of.
+/// A daemon of the fleet. It serves clients through its job frontend, and owns
+/// the pools whose lease it holds.
 class FleetDaemon {
 public:
   virtual ~FleetDaemon() = default;
-  /// Opens the ports and begins; the loop's run() does the rest.
+  /// Opens the ports and schedules the first work on the loop, which the caller
+  /// then runs.
   virtual void start() = 0;
-  /// Begins a graceful shutdown; the loop is stopped at its end. Call on the
-  /// loop's thread.
+  /// Begins a graceful shutdown, which stops the loop when it is complete. Must
+  /// be called on the loop's thread.
   virtual void stop() = 0;
 };
 
-std::unique_ptr<FleetDaemon> makeFleetDaemon(FleetParts Parts,
-                                             FrontHandlerMaker MakeFront);
+std::unique_ptr<FleetDaemon>
+makeFleetDaemon(FleetDependencies Dependencies,
+                RequestHandlerFactory MakeRequestHandler);
 
 } // namespace cuminroad
 
--- /dev/null
+++ b/packages/fleet/include/cuminroad/fleet/JobFrontend.h
@@ -0,0 +1,115 @@
+#ifndef CUMINROAD_FLEET_JOBFRONTEND_H
+#define CUMINROAD_FLEET_JOBFRONTEND_H
+
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include "cuminroad/fleet/FleetContext.h"
+#include "cuminroad/fleet/JobRows.h"
+#include "cuminroad/fleet/PeerService.h"
+#include "cuminroad/fleet/PoolLease.h"
+
+namespace cuminroad {
+
+/// Outcome of a submission, as the client receives it.
+enum class SubmitOutcome {
+  /// The job is in the store and will run.
+  Accepted,
+  /// The job was not accepted and will never run.
+  NotAccepted,
+  /// Whether the job was accepted could not be determined. The client may send
+  /// the same submission again.
+  Unknown,
+};
+
+/// The answer to a submission.
+struct SubmitReply {
+  SubmitOutcome Outcome = SubmitOutcome::Unknown;
+  /// When the client should try again.
+  milliseconds RetryAfter{0};
+};
+
+/// The answer to a query about a job or a queue.
+template <typename T> struct QueryResult {
+  /// Empty if the answer can't be determined at present.
+  std::optional<T> Value;
+
+  static QueryResult known(T Answer) {
+    QueryResult Out;
+    // Assigning an empty optional would be taken for an unknown answer.
+    Out.Value.emplace(std::move(Answer));
+    return Out;
+  }
+  static QueryResult unknown() { return {}; }
+};
+
+/// Looks up the owners of pools.
+class OwnerLookup {
+public:
+  virtual ~OwnerLookup() = default;
+  /// \returns the owner as last read from the store, or null.
+  virtual const OwnerRow *ownerOf(std::string_view Service) const = 0;
+};
+
+/// Accepts, cancels and queries jobs for clients, on any daemon. A job is
+/// accepted by a write of its row on condition that no such row exists. The
+/// pool's owner learns of the job from the store, so that a daemon without a
+/// connection to the owner still accepts jobs. Runs on the control thread.
+class JobFrontend {
+public:
+  using SubmitDone = std::function<void(SubmitReply)>;
+  /// A known but empty answer means that no such job was ever accepted.
+  using StageDone = std::function<void(QueryResult<std::optional<JobStage>>)>;
+  using CountDone = std::function<void(QueryResult<int>)>;
+
+  JobFrontend(const FleetContext &Context, const OwnedPools &Owned,
+              const OwnerLookup &Owners)
+      : Context_(Context), Owned_(Owned), Owners_(Owners) {}
+
+  /// \param CallerTimeout how long the client waits for the answer.
+  void submit(const QueueTerms &Queue, JobPlan Plan, milliseconds CallerTimeout,
+              SubmitDone Done);
+  void cancel(std::string_view Job, milliseconds CallerTimeout,
+              std::function<void(QueryResult<bool>)> Done);
+  void stage(const QueueTerms &Queue, std::string_view Job,
+             milliseconds CallerTimeout, StageDone Done);
+  void pending(const QueueTerms &Queue, milliseconds CallerTimeout,
+               CountDone Done);
+
+private:
+  struct Submission;
+  struct Cancellation;
+
+  void writeRequest(std::shared_ptr<Submission> Pending);
+  void handleWriteResult(std::shared_ptr<Submission> Pending,
+                         Result<RowCommit> Outcome);
+  void reply(const Submission &Pending, const SubmitReply &Reply);
+  /// Repeats the write as soon as the store has answered any call after \p
+  /// FailedAt.
+  void writeWhenReachable(std::shared_ptr<Submission> Pending,
+                          TimePoint FailedAt);
+  void readForCancel(std::shared_ptr<Cancellation> Pending);
+  void writeCancel(std::shared_ptr<Cancellation> Pending,
+                   std::int64_t RequestVersion);
+  void retryCancel(std::shared_ptr<Cancellation> Pending);
+  /// The page is empty if the store did not respond before the deadline.
+  using ReadDone = std::function<void(std::optional<RowPage>)>;
+
+  void readWithRetry(RowRange Range, TimePoint Deadline, ReadDone Done);
+  void readStage(std::string Job, TimePoint Deadline, StageDone Done);
+  void readProgress(std::string_view Service, const std::string &Job,
+                    TimePoint Deadline, StageDone Done);
+  milliseconds remaining(TimePoint Deadline) const;
+
+  FleetContext Context_;
+  const OwnedPools &Owned_;
+  const OwnerLookup &Owners_;
+};
+
+} // namespace cuminroad
+
+#endif
--- a/packages/fleet/include/cuminroad/fleet/PoolLease.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolLease.h
@@ -13,64 +13,65 @@
 
 namespace cuminroad {
 
-/// A term of ownership of a pool.
+/// One daemon's term as the owner of a pool.
 struct PoolTerm {
   std::string Service;
   std::int64_t Epoch = 0;
-  /// Version of the owner row as this daemon wrote it.
+  /// Version of the owner row that this daemon wrote when it took over.
   std::int64_t RowVersion = 0;
-  /// When the write was sent.
+  /// When that write was sent.
   TimePoint WrittenAt{};
-  /// Whether an earlier owner may have left runs on VMs.
+  /// Whether the pool had an owner before, whose runs may still be on VMs.
   bool Inherited = false;
 };
 
-/// Decides which daemon owns a pool, by a row of the store that each of the
-/// owner's transactions replaces. A standby takes over a row that has not
-/// changed for the length of the lease, by its own clock; time in which it
-/// could not read does not count. Standbys wait for different times, so that
-/// one is usually first; those that own a pool already, and those with little
-/// processor time, wait longer.
+/// Elects the daemon that owns a pool, by a row in the store that each of the
+/// owner's transactions replaces. A standby takes the row over when it has not
+/// changed for the length of the lease, measured by the standby's own clock and
+/// excluding time in which the row could not be read. Standbys add different
+/// delays, so that usually one of them comes first; the delay is longer for
+/// daemons that own pools already or have little processor time.
 class PoolLease : public std::enable_shared_from_this<PoolLease> {
 public:
-  PoolLease(RowStore &Store, Loop &Home, const Clock &Time, EventLog &Events,
-            const DaemonIdentity &Self, std::string Service);
+  PoolLease(RowStore &Store, Loop &ControlLoop, const Clock &MonotonicClock,
+            EventLog &Events, const DaemonIdentity &Self, std::string Service);
 
   void start();
-  /// Never takes the pool over again.
+  /// Prevents any further takeover by this daemon.
   void stop() { Stopped_ = true; }
-  /// The owner stepped down; watch the row again.
-  void lost();
-  /// The owner as last read.
+  /// Watches the owner row again, after the pool's owner in this process was
+  /// replaced.
+  void resumeStandby();
+  /// The owner as last read from the store.
   const OwnerRow &owner() const { return Owner_; }
 
-  std::function<void(PoolTerm)> OnTaken;
-  /// How many pools this daemon owns already.
-  std::function<int()> PoolsOwned;
+  std::function<void(PoolTerm)> OnAcquired;
+  /// Returns the number of pools that this daemon owns already.
+  std::function<int()> OwnedPoolCount;
 
 private:
   void poll();
   void pollLater(milliseconds Delay);
-  void examine(const RowPage &Page);
-  void take(std::int64_t Version, bool Inherited);
-  void taken(std::int64_t Version, TimePoint SentAt);
+  void evaluateRow(const RowPage &Page);
+  void tryAcquire(std::int64_t Version, bool Inherited);
+  void handleAcquired(std::int64_t Version, TimePoint SentAt);
   milliseconds standbyDelay() const;
   milliseconds pollDelay() const;
 
   RowStore &Store_;
-  Loop &Home_;
-  const Clock &Time_;
+  Loop &ControlLoop_;
+  const Clock &MonotonicClock_;
   EventLog &Events_;
   const DaemonIdentity &Self_;
   std::string Service_;
-  milliseconds Rank_;
+  milliseconds StandbyOffset_;
   OwnerRow Owner_;
-  std::int64_t SeenVersion_ = -1;
-  TimePoint SeenAt_{};
-  TimePoint TakeSentAt_{};
-  bool TakeInherited_ = false;
+  std::int64_t LastVersion_ = -1;
+  TimePoint UnchangedSince_{};
+  TimePoint AcquireSentAt_{};
+  bool AcquireInherited_ = false;
   bool Unchanged_ = false;
-  bool Mine_ = false;
+  bool IsOwner_ = false;
   bool Polling_ = false;
   bool Stopped_ = false;
 };
--- a/packages/fleet/include/cuminroad/fleet/VmLink.h
+++ b/packages/fleet/include/cuminroad/fleet/VmLink.h
@@ -19,125 +19,132 @@
 
 class VmLink;
 
-/// What happens on a link, told to the pool's owner.
-class VmLinkEvents {
+/// Receives the events of a VM link; implemented by the pool's owner.
+class VmLinkListener {
 public:
-  virtual ~VmLinkEvents() = default;
-  /// The VM answered a hold that was sent at \p AskedAt.
-  virtual void reported(VmLink &Link, const HoldAnswer &Answer,
-                        TimePoint AskedAt) = 0;
-  /// A hold was not answered; it is repeated.
-  virtual void unanswered(VmLink &Link) = 0;
-  /// The VM does not answer, or refuses; told again each time that the number
-  /// of failed tries has doubled.
-  virtual void silent(VmLink &Link, std::string_view Why, int Tries) = 0;
-  /// The VM answered for the first time, or again.
-  virtual void answering(VmLink &Link) = 0;
-  /// The leases on all that ran on the VM have ended.
-  virtual void lapsed(VmLink &Link) = 0;
-  /// The VM obeys a newer owner.
-  virtual void fenced(VmLink &Link) = 0;
-  virtual void startAnswered(VmLink &Link, const TaskRun &Run,
-                             StartOutcome Outcome, std::string_view Why) = 0;
-  virtual void stopAnswered(VmLink &Link, const TaskRun &Run) = 0;
+  virtual ~VmLinkListener() = default;
+  /// The VM answered a hold that was sent at \p SentAt.
+  virtual void onReport(VmLink &Link, const HoldAnswer &Answer,
+                        TimePoint SentAt) = 0;
+  /// A hold got no answer or was refused, for the first time since the last
+  /// success. It will be repeated.
+  virtual void onNoAnswer(VmLink &Link) = 0;
+  /// The VM does not answer, or refuses. Called again each time that the number
+  /// of failed attempts has doubled.
+  virtual void onUnreachable(VmLink &Link, std::string_view Reason,
+                             int Attempts) = 0;
+  /// The VM answered for the first time, or after it was reported as
+  /// unreachable.
+  virtual void onReachable(VmLink &Link) = 0;
+  /// All leases on what ran on the VM have expired.
+  virtual void onLeaseExpired(VmLink &Link) = 0;
+  /// The VM has accepted a newer owner.
+  virtual void onFenced(VmLink &Link) = 0;
+  virtual void onStartAnswered(VmLink &Link, const TaskRun &Run,
+                               StartOutcome Outcome,
+                               std::string_view Reason) = 0;
+  virtual void onStopAnswered(VmLink &Link, const TaskRun &Run) = 0;
   /// Whether the run should still be started.
-  virtual bool wanted(const VmLink &Link, const TaskRun &Run) const = 0;
-  /// Until when, by this process's clock, leases may be extended.
+  virtual bool isWanted(const VmLink &Link, const TaskRun &Run) const = 0;
+  /// Time by this process's clock beyond which no lease may be extended.
   virtual TimePoint leaseLimit() const = 0;
 };
 
-/// A pool owner's conversation with one VM: holds its lease by calls that the
-/// VM answers when something ended there, and sends orders.
+/// A pool owner's link to one VM. It renews the VM's lease by holds, long polls
+/// that the VM answers when a task ended there, and sends orders.
 ///
-/// lapsed() is called only when every lease that this link may have granted has
-/// ended by the VM's clock, which may run two percent slow.
+/// onLeaseExpired() is called only when every lease that this link may have
+/// granted has expired by the VM's clock, which may run two percent slow, or
+/// when another VM has the address.
 class VmLink : public std::enable_shared_from_this<VmLink> {
 public:
   struct Options {
     std::int64_t FencingToken = 0;
     /// Longest lease that the VM grants.
     milliseconds MaxLease{6000};
-    /// Before this, an earlier owner's leases may hold.
-    TimePoint InheritedUntil{};
+    /// Until this time, leases that an earlier owner granted may be in force.
+    TimePoint InheritedLeasesUntil{};
   };
 
-  VmLink(VmEntry Entry, Options Options, VmCalls &Calls, Loop &Home,
-         const Clock &Time, VmLinkEvents &Events);
+  VmLink(VmEntry Entry, Options Options, VmCalls &Calls, Loop &ControlLoop,
+         const Clock &MonotonicClock, VmLinkListener &Listener);
 
   void start();
-  /// Ends the link; nothing is called back after this.
+  /// Ends the link; the listener is not called after this.
   void close() { Closed_ = true; }
   void update(const VmEntry &Entry);
   const std::string &vm() const { return Entry_.Vm.Id; }
   bool held() const { return Held_; }
-  bool lapsedTold() const { return LapsedTold_; }
+  bool leaseExpiryReported() const { return LeaseExpiryReported_; }
 
   void startRun(const StartRun &Command, const std::string &Spec);
-  /// \returns whether a stop is sent; not where one is under way.
+  /// \returns whether a stop is sent; false if one is already pending.
   bool stopRun(const TaskRun &Run);
   void paceRun(const TaskRun &Run, int Percent);
-  /// The ends reported up to \p Number are recorded.
-  void acknowledge(std::int64_t Born, std::int64_t Number);
+  /// Tells the VM that its ends up to \p Number are durable.
+  void acknowledge(std::int64_t Incarnation, std::int64_t Number);
 
 private:
   void hold();
-  void holdAnswered(TimePoint SentAt, Result<HoldAnswer> Answer);
-  void holdSucceeded(TimePoint SentAt, const HoldAnswer &Answer);
-  void holdFailed(std::string_view Why);
-  /// Settles what was sent to the VM's earlier life.
-  void noteRestart();
-  void holdLater(milliseconds Delay);
-  void checkLapse();
-  void tellLapsed();
-  void noteClock(milliseconds VmClock);
+  void handleHoldAnswer(TimePoint SentAt, Result<HoldAnswer> Answer);
+  void handleHoldSuccess(TimePoint SentAt, const HoldAnswer &Answer);
+  void handleHoldFailure(std::string_view Reason);
+  /// Handles what was sent to the VM's earlier incarnation.
+  void handleRestart();
+  void scheduleHold(milliseconds Delay);
+  void checkLeaseExpiry();
+  void reportLeaseExpired();
+  void recordVmClock(milliseconds VmClock);
   std::optional<milliseconds> leaseUntil();
-  /// \returns the time here at which the VM's clock has passed \p VmTime.
-  TimePoint certainlyPast(milliseconds VmTime) const;
-  void sendStart(StartOrder Order, int Tries);
-  /// Settles the start once the VM can't accept it any more.
-  void expireStart(const StartOrder &Order);
-  void settleStart(const TaskRun &Run, StartOutcome Outcome,
-                   std::string_view Why);
-  void startAnswered(const StartOrder &Order, int Tries,
-                     const Result<OrderAnswer> &Answer);
-  void repeatStart(const StartOrder &Order, int Tries);
-  void sendStop(const TaskRun &Run, int Tries);
+  /// \returns the local time at which the VM's clock has certainly passed \p
+  /// VmTime.
+  TimePoint whenVmClockHasPassed(milliseconds VmTime) const;
+  void sendStart(StartOrder Order, int Attempts);
+  /// Completes the start at the time after which the VM can't accept it any
+  /// more.
+  void scheduleStartExpiry(const StartOrder &Order);
+  void completeStart(const TaskRun &Run, StartOutcome Outcome,
+                     std::string_view Reason);
+  void handleStartAnswer(const StartOrder &Order, int Attempts,
+                         const Result<OrderAnswer> &Answer);
+  void retryStart(const StartOrder &Order, int Attempts);
+  void sendStop(const TaskRun &Run, int Attempts);
   VmTarget target() const;
-  /// Notes whether an order was answered at all.
-  template <typename T> void noteAnswer(const Result<T> &Answer) {
-    Unanswered_ = !Answer;
+  /// Records whether the last order got any answer.
+  template <typename T> void recordAnswered(const Result<T> &Answer) {
+    LastOrderUnanswered_ = !Answer;
   }
 
   VmEntry Entry_;
   Options Options_;
   VmCalls &Calls_;
-  Loop &Home_;
-  const Clock &Time_;
-  VmLinkEvents &Events_;
+  Loop &ControlLoop_;
+  const Clock &MonotonicClock_;
+  VmLinkListener &Listener_;
   bool Closed_ = false;
   bool Held_ = false;
-  bool LapsedTold_ = false;
-  bool Holding_ = false;
-  bool HoldPlanned_ = false;
-  /// Counts planned holds, so that only the last one comes about.
-  std::int64_t HoldPlan_ = 0;
-  /// The last order got no answer: its connection may have gone silent.
-  bool Unanswered_ = false;
+  bool LeaseExpiryReported_ = false;
+  bool HoldInFlight_ = false;
+  bool HoldScheduled_ = false;
+  /// Number of the last scheduled hold; timers of earlier ones do nothing.
+  std::int64_t HoldSchedule_ = 0;
+  /// The last order got no answer, so that its connection may be dead.
+  bool LastOrderUnanswered_ = false;
   int Failures_ = 0;
-  /// Failures after which the VM counts as silent, or is told of again.
-  int NextSilent_ = 0;
-  std::int64_t Born_ = 0;
-  std::int64_t Acknowledged_ = 0;
+  /// Number of failures at which the VM is next reported as unreachable.
+  int NextUnreachableReport_ = 0;
+  std::int64_t Incarnation_ = 0;
+  std::int64_t AcknowledgedEnd_ = 0;
   std::int64_t LastEnd_ = 0;
-  TimePoint LastHold_{};
-  /// The VM's clock, and when it was read here at the latest.
+  TimePoint LastHoldSentAt_{};
+  /// The VM's clock, and the local time at which the answer with it arrived.
   std::optional<milliseconds> VmClock_;
-  TimePoint VmClockAt_{};
-  /// Starts that are neither answered for certain nor expired yet.
-  std::set<TaskRun> OpenStarts_;
-  std::set<TaskRun> OpenStops_;
+  TimePoint VmClockReadAt_{};
+  /// Starts that are neither definitely answered nor expired.
+  std::set<TaskRun> PendingStarts_;
+  std::set<TaskRun> PendingStops_;
   /// The latest end of a lease, by the VM's clock, that any order carried.
-  milliseconds LatestLease_{0};
+  milliseconds LatestLeaseEnd_{0};
 };
 
 } // namespace cuminroad
--- /dev/null
+++ b/packages/fleet/src/JobFrontend.cpp
@@ -0,0 +1,311 @@
+#include "cuminroad/fleet/JobFrontend.h"
+
+#include <algorithm>
+
+#include <fmt/format.h>
+
+#include "cuminroad/pool/JobProgress.h"
+
+namespace cuminroad {
+
+namespace {
+
+/// Part of the caller's timeout that is reserved for returning the answer.
+constexpr milliseconds ResponseMargin{150};
+/// Timeout of one attempt of a transaction. Two attempts fit into the usual
+/// caller timeout; a shorter one would repeat calls to a store that is only
+/// slow.
+constexpr milliseconds WriteTimeout{1600};
+constexpr milliseconds ReadTimeout{1200};
+constexpr milliseconds OwnerTimeout{350};
+constexpr milliseconds RetryInterval{60};
+/// Longest interval between two attempts while no other call shows that the
+/// store responds.
+constexpr milliseconds MaxUnreachableRetryInterval{600};
+/// Share of the caller's timeout during which a write is retried while the
+/// store is unreachable: enough to bridge a short interruption. Callers that
+/// retry later wait no longer in total.
+constexpr double RetryShare = 0.15;
+/// Retry-After for callers that are refused because the store is unreachable;
+/// outages last seconds.
+constexpr milliseconds StoreRetryAfter{2000};
+
+/// Summarizes a job's queue and steps for the event log.
+std::string describe(const JobRequest &Request) {
+  std::string Out = Request.Queue;
+  for (const StepPlan &Step : Request.Plan.Steps)
+    Out += fmt::format(" {}x{}m/{}MB/{}g{}{}{}", Step.Tasks,
+                       Step.PerTask.MilliCores, Step.PerTask.MemoryMb,
+                       Step.PerTask.Accelerators, Step.Gang ? " gang" : "",
+                       Step.LongRunning ? " long-running" : "",
+                       Step.BestEffort ? " best-effort" : "");
+  return Out;
+}
+
+/// The rows of a job's request and of its cancellation.
+RowRange requestRange(std::string_view Job) {
+  const RowName Row = requestRow(Job);
+  return RowRange{Row.Table, Row.Partition, Row.Key,
+                  keyAfter(cancelRow(Job).Key), 2};
+}
+
+} // namespace
+
+struct JobFrontend::Submission {
+  JobRequest Request;
+  TimePoint ReceivedAt;
+  /// The answer must be given by this time.
+  TimePoint Deadline;
+  /// A job that was certainly not accepted is refused after this time.
+  TimePoint RetryUntil;
+  SubmitDone Done;
+  /// An earlier attempt may have taken effect, or may still do so.
+  bool Uncertain = false;
+};
+
+struct JobFrontend::Cancellation {
+  std::string Job;
+  TimePoint Deadline;
+  std::function<void(QueryResult<bool>)> Done;
+};
+
+milliseconds JobFrontend::remaining(TimePoint Deadline) const {
+  return std::chrono::duration_cast<milliseconds>(
+      Deadline - Context_.MonotonicClock.now());
+}
+
+void JobFrontend::submit(const QueueTerms &Queue, JobPlan Plan,
+                         milliseconds CallerTimeout, SubmitDone Done) {
+  auto Pending = std::make_shared<Submission>();
+  Pending->Request = JobRequest{Queue.Name, Queue.Service,
+                                Context_.Store.storeTime(), std::move(Plan)};
+  const TimePoint Now = Context_.MonotonicClock.now();
+  Pending->ReceivedAt = Now;
+  Pending->Deadline = Now + CallerTimeout - ResponseMargin;
+  Pending->RetryUntil =
+      Now + milliseconds(static_cast<std::int64_t>(
+                RetryShare * static_cast<double>(CallerTimeout.count())));
+  Pending->Done = std::move(Done);
+  writeRequest(std::move(Pending));
+}
+
+void JobFrontend::writeRequest(std::shared_ptr<Submission> Pending) {
+  const RowName Row = requestRow(Pending->Request.Plan.Id);
+  RowTransaction Change;
+  Change.Checks.push_back(RowCheck{Row, 0});
+  Change.Puts.push_back(RowPut{Row, encodeRequest(Pending->Request)});
+  const milliseconds Timeout =
+      std::clamp(remaining(Pending->Deadline), RetryInterval, WriteTimeout);
+  Context_.Store.commit(std::move(Change), Timeout,
+                        [this, Pending](Result<RowCommit> Outcome) {
+                          handleWriteResult(Pending, std::move(Outcome));
+                        });
+}
+
+void JobFrontend::handleWriteResult(std::shared_ptr<Submission> Pending,
+                                    Result<RowCommit> Outcome) {
+  const std::string &Job = Pending->Request.Plan.Id;
+  if (Outcome) {
+    // A conflict means that the row exists already: the job was submitted
+    // before and is not duplicated.
+    Context_.Events.record(Outcome->committed() ? EventId::JobAccepted
+                                                : EventId::JobReadBack,
+                           Job, describe(Pending->Request));
+    return reply(*Pending, SubmitReply{SubmitOutcome::Accepted});
+  }
+  Pending->Uncertain = Pending->Uncertain ||
+                       Outcome.error().Code == ErrorCode::WriteOutcomeUnknown;
+  const TimePoint Now = Context_.MonotonicClock.now();
+  // An uncertain write is retried until the caller's deadline, since its
+  // outcome could only be reported as unknown. A write that certainly failed is
+  // retried for a part of that time only.
+  if (Now < (Pending->Uncertain ? Pending->Deadline : Pending->RetryUntil))
+    return writeWhenReachable(std::move(Pending), Now);
+  if (Pending->Uncertain) {
+    Context_.Events.record(EventId::JobOutcomeUnknown, Job,
+                           Outcome.error().text());
+    return reply(*Pending, SubmitReply{SubmitOutcome::Unknown});
+  }
+  Context_.Events.record(EventId::JobRefused, Job, Outcome.error().text());
+  reply(*Pending, SubmitReply{SubmitOutcome::NotAccepted, StoreRetryAfter});
+}
+
+void JobFrontend::reply(const Submission &Pending, const SubmitReply &Reply) {
+  constexpr std::string_view Names[] = {"accepted", "not_accepted", "unknown"};
+  Context_.Metrics.recordSubmission(
+      Pending.Request.Queue, Names[static_cast<std::size_t>(Reply.Outcome)],
+      std::chrono::duration_cast<milliseconds>(Context_.MonotonicClock.now() -
+                                               Pending.ReceivedAt));
+  Pending.Done(Reply);
+}
+
+void JobFrontend::writeWhenReachable(std::shared_ptr<Submission> Pending,
+                                     TimePoint FailedAt) {
+  Context_.ControlLoop.after(RetryInterval, [this, Pending, FailedAt] {
+    const TimePoint Now = Context_.MonotonicClock.now();
+    const bool StoreReached = Context_.Store.lastContact() > FailedAt;
+    // While the store is unreachable, other calls show when it is back; retries
+    // by every waiting caller would only add to its load.
+    if (StoreReached || Now - FailedAt > MaxUnreachableRetryInterval ||
+        Now >= (Pending->Uncertain ? Pending->Deadline : Pending->RetryUntil))
+      writeRequest(Pending);
+    else
+      writeWhenReachable(Pending, FailedAt);
+  });
+}
+
+void JobFrontend::cancel(std::string_view Job, milliseconds CallerTimeout,
+                         std::function<void(QueryResult<bool>)> Done) {
+  auto Pending = std::make_shared<Cancellation>();
+  Pending->Job = Job;
+  Pending->Deadline =
+      Context_.MonotonicClock.now() + CallerTimeout - ResponseMargin;
+  Pending->Done = std::move(Done);
+  readForCancel(std::move(Pending));
+}
+
+void JobFrontend::retryCancel(std::shared_ptr<Cancellation> Pending) {
+  if (remaining(Pending->Deadline) <= RetryInterval)
+    return Pending->Done(QueryResult<bool>::unknown());
+  Context_.ControlLoop.after(RetryInterval,
+                             [this, Pending] { readForCancel(Pending); });
+}
+
+void JobFrontend::readForCancel(std::shared_ptr<Cancellation> Pending) {
+  const TimePoint Deadline = Pending->Deadline;
+  readWithRetry(
+      requestRange(Pending->Job), Deadline,
+      [this, Pending](const std::optional<RowPage> &Page) {
+        if (!Page)
+          return Pending->Done(QueryResult<bool>::unknown());
+        std::int64_t Version = 0;
+        bool Cancelled = false;
+        for (const StoredRow &Each : Page->Rows) {
+          Cancelled = Cancelled || !cancelledJob(Each.Name.Key).empty();
+          if (Each.Name.Key == Pending->Job)
+            Version = Each.Version;
+        }
+        if (Version == 0 || Cancelled)
+          return Pending->Done(QueryResult<bool>::known(Version != 0));
+        writeCancel(Pending, Version);
+      });
+}
+
+void JobFrontend::writeCancel(std::shared_ptr<Cancellation> Pending,
+                              std::int64_t RequestVersion) {
+  RowTransaction Change;
+  Change.Checks.push_back(RowCheck{requestRow(Pending->Job), RequestVersion});
+  Change.Puts.push_back(RowPut{cancelRow(Pending->Job), "1"});
+  Context_.Store.commit(
+      std::move(Change),
+      std::clamp(remaining(Pending->Deadline), RetryInterval, WriteTimeout),
+      [this, Pending](const Result<RowCommit> &Outcome) {
+        if (!Outcome || !Outcome->committed())
+          return retryCancel(Pending);
+        Context_.Events.record(EventId::JobCancelled, Pending->Job);
+        Pending->Done(QueryResult<bool>::known(true));
+      });
+}
+
+void JobFrontend::stage(const QueueTerms &Queue, std::string_view Id,
+                        milliseconds CallerTimeout, StageDone Done) {
+  const std::string Job(Id);
+  const TimePoint Deadline =
+      Context_.MonotonicClock.now() + CallerTimeout - ResponseMargin;
+  if (Owned_.owns(Queue.Service)) {
+    const auto Stage = Owned_.stage(Queue.Service, Job);
+    if (Stage)
+      return Done(QueryResult<std::optional<JobStage>>::known(Stage));
+    return readStage(Job, Deadline, std::move(Done));
+  }
+  const OwnerRow *Owner = Owners_.ownerOf(Queue.Service);
+  if (Owner == nullptr || Owner->PeerAddress.empty())
+    return readStage(Job, Deadline, std::move(Done));
+  Context_.Peers.stage(
+      Owner->PeerAddress, Queue.Service, Job, OwnerTimeout,
+      [this, Job, Deadline,
+       Done = std::move(Done)](Result<std::optional<JobStage>> Stage) {
+        if (Stage && *Stage)
+          return Done(QueryResult<std::optional<JobStage>>::known(*Stage));
+        // The owner may not have learned of the job yet, so the store decides.
+        readStage(Job, Deadline, Done);
+      });
+}
+
+void JobFrontend::readWithRetry(RowRange Range, TimePoint Deadline,
+                                ReadDone Done) {
+  Context_.Store.read(
+      Range, std::clamp(remaining(Deadline), RetryInterval, ReadTimeout),
+      [this, Range, Deadline, Done = std::move(Done)](Result<RowPage> Page) {
+        if (Page)
+          return Done(std::move(*Page));
+        if (remaining(Deadline) <= RetryInterval)
+          return Done(std::nullopt);
+        Context_.ControlLoop.after(RetryInterval,
+                                   [this, Range, Deadline, Done] {
+                                     readWithRetry(Range, Deadline, Done);
+                                   });
+      });
+}
+
+void JobFrontend::readStage(std::string Job, TimePoint Deadline,
+                            StageDone Done) {
+  using Answer = QueryResult<std::optional<JobStage>>;
+  RowRange Range = requestRange(Job);
+  readWithRetry(std::move(Range), Deadline,
+                [this, Job = std::move(Job), Deadline,
+                 Done = std::move(Done)](const std::optional<RowPage> &Page) {
+                  if (!Page)
+                    return Done(Answer::unknown());
+                  if (Page->Rows.empty() || Page->Rows.front().Name.Key != Job)
+                    return Done(Answer::known(std::nullopt));
+                  const auto Request =
+                      decodeRequest(Job, Page->Rows.front().Value);
+                  if (!Request) {
+                    Context_.Events.record(EventId::RowUnreadable, Job,
+                                           Request.error().text());
+                    return Done(Answer::unknown());
+                  }
+                  readProgress(Request->Service, Job, Deadline, Done);
+                });
+}
+
+void JobFrontend::readProgress(std::string_view Service, const std::string &Job,
+                               TimePoint Deadline, StageDone Done) {
+  using Answer = QueryResult<std::optional<JobStage>>;
+  const RowName Row = progressRow(Service, Job);
+  readWithRetry(
+      RowRange{Row.Table, Row.Partition, Row.Key, keyAfter(Row.Key), 1},
+      Deadline,
+      [this, Job, Done = std::move(Done)](const std::optional<RowPage> &Page) {
+        if (!Page)
+          return Done(Answer::unknown());
+        if (Page->Rows.empty())
+          return Done(Answer::known(JobStage::Queued));
+        const auto Progress = decodeProgress(Page->Rows.front().Value);
+        if (!Progress) {
+          Context_.Events.record(EventId::RowUnreadable, Job,
+                                 Progress.error().text());
+          return Done(Answer::unknown());
+        }
+        Done(Answer::known(Progress->Stage));
+      });
+}
+
+void JobFrontend::pending(const QueueTerms &Queue, milliseconds CallerTimeout,
+                          CountDone Done) {
+  if (Owned_.owns(Queue.Service))
+    return Done(
+        QueryResult<int>::known(Owned_.pending(Queue.Service, Queue.Name)));
+  const OwnerRow *Owner = Owners_.ownerOf(Queue.Service);
+  if (Owner == nullptr || Owner->PeerAddress.empty())
+    return Done(QueryResult<int>::unknown());
+  Context_.Peers.pending(Owner->PeerAddress, Queue.Service, Queue.Name,
+                         std::min(CallerTimeout - ResponseMargin, ReadTimeout),
+                         [Done = std::move(Done)](const Result<int> &Count) {
+                           Done(Count ? QueryResult<int>::known(*Count)
+                                      : QueryResult<int>::unknown());
+                         });
+}
+
+} // namespace cuminroad
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -5,34 +5,36 @@
 
 #include <fmt/format.h>
 
-#include "RunText.h"
+#include "RunFormat.h"
 #include "cuminroad/fleet/LeaseTimes.h"
 
 namespace cuminroad {
 
 namespace {
 
-/// Least time between two passes of the scheduler: events that come together
-/// are handled together.
-constexpr milliseconds PassInterval{15};
+/// Least time between two passes of the scheduler, so that events that arrive
+/// together are handled together.
+constexpr milliseconds MinPassInterval{15};
 /// Passes take at most one part in this many of the time.
-constexpr int PassShare = 4;
-/// A pass at least this often, for what becomes due without an event.
-constexpr milliseconds IdlePass{150};
-/// Pause between reads of new jobs, so that several come in one.
-constexpr milliseconds GatherRequests{15};
+constexpr int PassTimeDivisor = 4;
+/// Interval of periodic work. It includes a scheduler pass, for what becomes
+/// due without an event.
+constexpr milliseconds PeriodicWorkInterval{150};
+/// Delay between reads of new jobs, so that one read returns several.
+constexpr milliseconds RequestBatchDelay{15};
 constexpr milliseconds ReadTimeout{1500};
-/// While nothing could be recorded for this long, nothing is placed: it would
-/// wait all the same, and its ticket would expire.
-constexpr milliseconds StoreStall{700};
-constexpr int StoreStallDelays = 3;
-/// From the record of a start in the store until it is at its VM.
-constexpr milliseconds SendDelay{40};
-constexpr milliseconds ReadRetry{100};
-constexpr milliseconds CleaningInterval{10000};
-constexpr milliseconds LoadInterval{1000};
-/// Finished jobs stay readable this much longer than promised.
-constexpr milliseconds KeepMargin{60000};
+/// Nothing is placed while no transaction has succeeded for this long, plus a
+/// multiple of the store's recent delay: starts would have to wait for the
+/// store, and their tickets would expire.
+constexpr milliseconds StoreStallThreshold{700};
+constexpr int StoreStallDelayFactor = 3;
+/// Time from when a start is durable in the store until it reaches its VM.
+constexpr milliseconds StartSendDelay{40};
+constexpr milliseconds ReadRetryDelay{100};
+constexpr milliseconds CleanupInterval{10000};
+constexpr milliseconds LoadReportInterval{1000};
+/// Finished jobs remain readable this much longer than the retention time.
+constexpr milliseconds RetentionMargin{60000};
 
 PoolOptions poolOptions(const FleetSettings &Settings) {
   PoolOptions Out;
@@ -46,82 +48,84 @@
     : Context_(Context), Term_(std::move(Term)) {}
 
 std::string PoolOwner::headValue(std::int64_t Serial) const {
-  const milliseconds Lapse =
-      std::clamp(OwnerLapseMin + Writer_->recentDelay() * OwnerLapseDelays,
-                 OwnerLapseMin, OwnerLapseMax);
+  const milliseconds LeaseDuration =
+      std::clamp(MinOwnerLease + Writer_->recentDelay() * OwnerLeaseDelayFactor,
+                 MinOwnerLease, MaxOwnerLease);
   return encodeOwner(OwnerRow{Context_.Self.Name, Context_.Self.Incarnation,
-                              Context_.Self.Peer, Term_.Epoch, Serial, Lapse});
+                              Context_.Self.PeerAddress, Term_.Epoch, Serial,
+                              LeaseDuration});
 }
 
 std::int64_t PoolOwner::serialOf(const std::string &HeadValue) const {
   const auto Row = decodeOwner(HeadValue);
-  const bool Mine = Row && Row->Incarnation == Context_.Self.Incarnation &&
-                    Row->Epoch == Term_.Epoch;
-  return Mine ? Row->Serial : 0;
+  const bool IsOwn = Row && Row->Incarnation == Context_.Self.Incarnation &&
+                     Row->Epoch == Term_.Epoch;
+  return IsOwn ? Row->Serial : 0;
 }
 
 void PoolOwner::start() {
   if (Term_.Inherited)
-    InheritedUntil_ = Context_.Time.now() + InheritedWait;
+    InheritedLeasesUntil_ = Context_.MonotonicClock.now() + InheritedLeaseWait;
   Writer_ = std::make_shared<ChainedWriter>(
-      Context_.Store, Context_.Home, Context_.Time,
+      Context_.Store, Context_.ControlLoop, Context_.MonotonicClock,
       ChainedWriter::Head{
           ownerRow(Term_.Service),
           [this](std::int64_t Serial) { return headValue(Serial); },
           [this](const std::string &Value) { return serialOf(Value); }});
-  Writer_->OnReplaced = [this] { replaced(); };
+  Writer_->OnReplaced = [this] { handleReplacement(); };
   Writer_->begin(Term_.RowVersion, Term_.WrittenAt);
-  Advice_ = std::make_shared<AdviceDesk>(
-      Context_.Advisor, Context_.Peers, Context_.Home, Context_.Time,
-      Context_.Self.Name,
+  AdviceDispatcher_ = std::make_shared<AdviceDispatcher>(
+      Context_.Advisor, Context_.Peers, Context_.ControlLoop,
+      Context_.MonotonicClock, Context_.Self.Name,
       [this](const StepName &Step) { return Scheduler_->needsAdvice(Step); },
-      [this](const StepName &Step, const Result<AdviceDesk::Answer> &Answer) {
-        adviceAnswered(Step, Answer);
+      [this](const StepName &Step,
+             const Result<AdviceDispatcher::Answer> &Answer) {
+        handleAdvice(Step, Answer);
       });
-  Advice_->setQueues(Context_.Queues.config().Routes);
+  AdviceDispatcher_->setQueues(Context_.Queues.config().Routes);
   Requests_ = std::make_shared<TableFollower>(
-      Context_.Store, Context_.Home,
+      Context_.Store, Context_.ControlLoop,
       FollowOptions{.Table = std::string(RequestTable),
                     .Partitions = requestPartitions(),
-                    .Gather = GatherRequests},
+                    .Gather = RequestBatchDelay},
       *this);
   Requests_->start();
   readProgress("");
-  renewRegularly();
+  runPeriodicWork();
 }
 
-void PoolOwner::adviceAnswered(const StepName &Step,
-                               const Result<AdviceDesk::Answer> &Answer) {
-  Context_.Metrics.adviceCame(Answer ? "answered" : "failed");
+void PoolOwner::handleAdvice(const StepName &Step,
+                             const Result<AdviceDispatcher::Answer> &Answer) {
+  Context_.Metrics.recordAdvice(Answer ? "answered" : "failed");
   if (!Answer) {
     Context_.Events.record(EventId::AdviceFailed, Step.Job,
                            Answer.error().text());
     return Scheduler_->adviceFailed(Step);
   }
   if (!Answer->Asked.empty())
-    Context_.Events.record(EventId::AdviceCame, Step.Job,
-                           fmt::format("{}.{} good {} of {}", Step.Occurrence,
-                                       Step.Step, Answer->Good.size(),
-                                       Answer->Asked.size()));
+    Context_.Events.record(
+        EventId::AdviceCame, Step.Job,
+        fmt::format("{}.{} allowed {} of {}", Step.Occurrence, Step.Step,
+                    Answer->Allowed.size(), Answer->Asked.size()));
   const QueueTerms *Terms = Scheduler_->terms(Step.Job);
   const milliseconds ValidFor = Terms != nullptr && Terms->Advice
                                     ? Terms->Advice->ValidFor
                                     : milliseconds(0);
-  Scheduler_->adviceReceived(Step, Answer->Asked, Answer->Good,
-                             Answer->At + ValidFor);
-  wake();
+  Scheduler_->adviceReceived(Step, Answer->Asked, Answer->Allowed,
+                             Answer->ReceivedAt + ValidFor);
+  schedulePass();
 }
 
 void PoolOwner::close() {
   if (Closed_)
     return;
   Closed_ = true;
-  Context_.Metrics.poolLoad(Term_.Service, PoolLoad{});
+  Context_.Metrics.setPoolLoad(Term_.Service, PoolLoad{});
   if (DirectoryListener_ != 0)
     Context_.Directory.removeListener(DirectoryListener_);
   Writer_->close();
   Requests_->close();
-  Advice_->close();
+  AdviceDispatcher_->close();
   for (const auto &[Id, Link] : Links_)
     Link->close();
 }
@@ -131,7 +135,7 @@
     return;
   for (const auto &[Id, Link] : Links_)
     Link->close();
-  // What is recorded so far goes first; then the row becomes vacant.
+  // What has been submitted is made durable first; then the row becomes vacant.
   Writer_->whenCommitted([Self = shared_from_this()] {
     RowTransaction Change;
     const RowName Row = ownerRow(Self->Term_.Service);
@@ -142,13 +146,13 @@
     Self->close();
     Self->Context_.Store.commit(std::move(Change), ReadTimeout,
                                 [](const Result<RowCommit> &) {
-                                  // Without an answer a standby waits for the
-                                  // lease.
+                                  // If this write fails, a standby waits until
+                                  // the lease expires.
                                 });
   });
 }
 
-void PoolOwner::replaced() {
+void PoolOwner::handleReplacement() {
   if (Closed_)
     return;
   Context_.Events.record(EventId::OwnershipLost, Term_.Service,
@@ -159,29 +163,28 @@
 }
 
 void PoolOwner::setPeers(const DaemonRows &Others) {
-  Advice_->setPeers(Others);
+  AdviceDispatcher_->setPeers(Others);
 }
 
 void PoolOwner::readProgress(std::string From) {
   const RowName First = progressRow(Term_.Service, From);
-  Context_.Store.read(RowRange{First.Table, First.Partition, First.Key, ""},
-                      ReadTimeout,
-                      [Self = shared_from_this(), From](Result<RowPage> Page) {
-                        if (Self->Closed_)
-                          return;
-                        if (Page)
-                          return Self->progressRead(std::move(Page));
-                        Self->Context_.Home.after(ReadRetry, [Self, From] {
-                          Self->readProgress(From);
-                        });
-                      });
-}
-
-void PoolOwner::progressRead(Result<RowPage> Page) {
+  Context_.Store.read(
+      RowRange{First.Table, First.Partition, First.Key, ""}, ReadTimeout,
+      [Self = shared_from_this(), From](Result<RowPage> Page) {
+        if (Self->Closed_)
+          return;
+        if (Page)
+          return Self->handleProgressPage(std::move(Page));
+        Self->Context_.ControlLoop.after(
+            ReadRetryDelay, [Self, From] { Self->readProgress(From); });
+      });
+}
+
+void PoolOwner::handleProgressPage(Result<RowPage> Page) {
   for (const StoredRow &Row : Page->Rows) {
     auto Progress = decodeProgress(Row.Value);
     if (Progress)
-      ReadProgress_[Row.Name.Key] = std::move(*Progress);
+      LoadedProgress_[Row.Name.Key] = std::move(*Progress);
     else
       Context_.Events.record(EventId::RowUnreadable, Row.Name.Key,
                              Progress.error().text());
@@ -189,24 +192,24 @@
   if (Page->HasMore && !Page->Rows.empty())
     return readProgress(keyAfter(Page->Rows.back().Name.Key));
   ProgressRead_ = true;
-  loadWhenRead();
+  loadJobsWhenRead();
 }
 
 void PoolOwner::tableRead(std::vector<StoredRow> Rows) {
   for (const StoredRow &Row : Rows)
-    addRow(Row);
+    applyRow(Row);
   RequestsRead_ = true;
-  loadWhenRead();
-  wake();
+  loadJobsWhenRead();
+  schedulePass();
 }
 
 void PoolOwner::rowsChanged(std::vector<StoredRow> Rows) {
   for (const StoredRow &Row : Rows)
-    addRow(Row);
-  wake();
+    applyRow(Row);
+  schedulePass();
 }
 
-void PoolOwner::addRow(const StoredRow &Row) {
+void PoolOwner::applyRow(const StoredRow &Row) {
   if (Row.Removed)
     return;
   const std::string_view Cancelled = cancelledJob(Row.Name.Key);
@@ -225,10 +228,10 @@
 void PoolOwner::applyRequest(JobRequest Request) {
   const std::string Job = Request.Plan.Id;
   if (!Scheduler_) {
-    ReadRequests_[Job] = std::move(Request);
+    LoadedRequests_[Job] = std::move(Request);
     return;
   }
-  if (Scheduler_->stage(Job) || Final_.contains(Job))
+  if (Scheduler_->stage(Job) || FinalStages_.contains(Job))
     return;
   QueueTerms Terms;
   if (const QueueTerms *Known = Context_.Queues.terms(Request.Queue))
@@ -236,110 +239,118 @@
   Terms.Name = Request.Queue;
   const milliseconds Age = std::max(
       Context_.Store.storeTime() - Request.AcceptedAt, milliseconds(0));
-  const TimePoint Accepted = Context_.Time.now() - Age;
-  const auto Progress = ReadProgress_.find(Job);
-  if (Progress == ReadProgress_.end()) {
+  const TimePoint Accepted = Context_.MonotonicClock.now() - Age;
+  const auto Progress = LoadedProgress_.find(Job);
+  if (Progress == LoadedProgress_.end()) {
     Scheduler_->addJob(std::move(Request.Plan), std::move(Terms), Accepted);
     return;
   }
   if (isFinal(Progress->second.Stage))
-    Final_[Job] = FinalStage{Progress->second.Stage, Context_.Time.now()};
+    FinalStages_[Job] =
+        FinalStage{Progress->second.Stage, Context_.MonotonicClock.now()};
   Scheduler_->restoreJob(std::move(Request.Plan), std::move(Terms), Accepted,
                          Progress->second);
 }
 
 void PoolOwner::applyCancel(const std::string &Job) {
   if (!Scheduler_)
-    ReadCancels_.insert(Job);
+    LoadedCancels_.insert(Job);
   else
     Scheduler_->cancelJob(Job);
 }
 
-void PoolOwner::loadWhenRead() {
+void PoolOwner::loadJobsWhenRead() {
   if (!RequestsRead_ || !ProgressRead_ || Scheduler_)
     return;
-  Scheduler_ = makePoolScheduler(Context_.Time, Context_.Wall,
+  Scheduler_ = makePoolScheduler(Context_.MonotonicClock, Context_.SystemClock,
                                  poolOptions(Context_.Settings));
-  for (auto &[Job, Request] : ReadRequests_)
+  for (auto &[Job, Request] : LoadedRequests_)
     applyRequest(std::move(Request));
-  for (const std::string &Job : ReadCancels_)
+  for (const std::string &Job : LoadedCancels_)
     Scheduler_->cancelJob(Job);
   Context_.Events.record(EventId::JobLoaded, Term_.Service,
                          fmt::format("epoch {} jobs {} with progress {}",
-                                     Term_.Epoch, ReadRequests_.size(),
-                                     ReadProgress_.size()));
-  ReadRequests_.clear();
-  ReadCancels_.clear();
-  ReadProgress_.clear();
+                                     Term_.Epoch, LoadedRequests_.size(),
+                                     LoadedProgress_.size()));
+  LoadedRequests_.clear();
+  LoadedCancels_.clear();
+  LoadedProgress_.clear();
   DirectoryListener_ = Context_.Directory.addListener([this] { syncVms(); });
   syncVms();
-  wake();
+  schedulePass();
 }
 
 void PoolOwner::queuesChanged() {
   if (!Scheduler_)
     return;
-  Advice_->setQueues(Context_.Queues.config().Routes);
+  AdviceDispatcher_->setQueues(Context_.Queues.config().Routes);
   for (const QueueRoute &Route : Context_.Queues.config().Routes)
     Scheduler_->setTerms(Route.Terms);
-  wake();
+  schedulePass();
 }
 
-VmLink *PoolOwner::link(std::string_view Vm) const {
+VmLink *PoolOwner::findLink(std::string_view Vm) const {
   const auto Found = Links_.find(Vm);
   return Found == Links_.end() ? nullptr : Found->second.get();
 }
 
-void PoolOwner::wake() {
-  if (PassPlanned_ || Closed_ || !Scheduler_)
+void PoolOwner::schedulePass() {
+  if (PassScheduled_ || Closed_ || !Scheduler_)
     return;
-  PassPlanned_ = true;
-  const auto Since =
-      std::chrono::duration_cast<milliseconds>(Context_.Time.now() - LastPass_);
-  const milliseconds Interval = std::max(PassInterval, PassTook_ * PassShare);
-  Context_.Home.after(std::max(Interval - Since, milliseconds(0)),
-                      [Self = shared_from_this()] {
-                        Self->PassPlanned_ = false;
-                        if (!Self->Closed_)
-                          Self->pass();
-                      });
-}
-
-void PoolOwner::pass() {
-  LastPass_ = Context_.Time.now();
-  Scheduler_->setStartDelay(Writer_->expectedDelay() + SendDelay);
-  if (LastPass_ - Writer_->renewedAt() <
-      StoreStall + Writer_->recentDelay() * StoreStallDelays)
+  PassScheduled_ = true;
+  const auto Since = std::chrono::duration_cast<milliseconds>(
+      Context_.MonotonicClock.now() - LastPassAt_);
+  const milliseconds Interval =
+      std::max(MinPassInterval, LastPassDuration_ * PassTimeDivisor);
+  Context_.ControlLoop.after(std::max(Interval - Since, milliseconds(0)),
+                             [Self = shared_from_this()] {
+                               Self->PassScheduled_ = false;
+                               if (!Self->Closed_)
+                                 Self->runPass();
+                             });
+}
+
+void PoolOwner::runPass() {
+  LastPassAt_ = Context_.MonotonicClock.now();
+  Scheduler_->setStartDelay(Writer_->expectedDelay() + StartSendDelay);
+  if (LastPassAt_ - Writer_->renewedAt() <
+      StoreStallThreshold + Writer_->recentDelay() * StoreStallDelayFactor)
     Scheduler_->schedule();
-  for (const PoolCommand &Command : Scheduler_->takeCommands())
-    std::visit([this](const auto &Do) { execute(Do); }, Command);
-  tellNotes();
+  for (const PoolCommand &Next : Scheduler_->takeCommands())
+    std::visit([this](const auto &Command) { execute(Command); }, Next);
+  logNotes();
   recordChanges();
-  PassTook_ =
-      std::chrono::duration_cast<milliseconds>(Context_.Time.now() - LastPass_);
+  LastPassDuration_ = std::chrono::duration_cast<milliseconds>(
+      Context_.MonotonicClock.now() - LastPassAt_);
 }
 
-void PoolOwner::execute(const StartRun &Do) { Starts_.push_back(Do); }
+void PoolOwner::execute(const StartRun &Command) {
+  UnrecordedStarts_.push_back(Command);
+}
 
-void PoolOwner::execute(const StopRun &Do) {
-  VmLink *Link = link(Do.Vm);
-  if (Link != nullptr && Link->stopRun(Do.Run))
-    Context_.Events.record(EventId::RunStopped, runText(Do.Run), Do.Vm);
+void PoolOwner::execute(const StopRun &Command) {
+  VmLink *Link = findLink(Command.Vm);
+  if (Link != nullptr && Link->stopRun(Command.Run))
+    Context_.Events.record(EventId::RunStopped, formatRun(Command.Run),
+                           Command.Vm);
 }
 
-void PoolOwner::execute(const ThrottleRun &Do) {
-  Context_.Events.record(EventId::RunPaced, runText(Do.Run),
-                         fmt::format("{} percent {}", Do.Vm, Do.SpeedPercent));
-  if (VmLink *Link = link(Do.Vm))
-    Link->paceRun(Do.Run, Do.SpeedPercent);
+void PoolOwner::execute(const ThrottleRun &Command) {
+  Context_.Events.record(
+      EventId::RunPaced, formatRun(Command.Run),
+      fmt::format("{} percent {}", Command.Vm, Command.SpeedPercent));
+  if (VmLink *Link = findLink(Command.Vm))
+    Link->paceRun(Command.Run, Command.SpeedPercent);
 }
 
-void PoolOwner::execute(const RequestAdvice &Do) { Advice_->ask(Do); }
+void PoolOwner::execute(const RequestAdvice &Command) {
+  AdviceDispatcher_->requestAdvice(Command);
+}
 
-void PoolOwner::tellNotes() {
+void PoolOwner::logNotes() {
   const PoolDiagnostics Notes = Scheduler_->takeDiagnostics();
   for (const LostRun &Loss : Notes.LostRuns)
-    Context_.Events.record(EventId::RunLost, runText(Loss.Run),
+    Context_.Events.record(EventId::RunLost, formatRun(Loss.Run),
                            fmt::format("{} {}", Loss.Vm, Loss.Reason));
   for (const VmQuarantine &Each : Notes.Quarantines)
     Context_.Events.record(EventId::VmQuarantined, Each.Vm,
@@ -347,11 +358,12 @@
   for (const BlockedStep &Each : Notes.BlockedSteps)
     Context_.Events.record(
         EventId::StepBlocked, Each.Step.Job,
-        fmt::format("{}.{} waited_ms {} tasks {} vms good {} held {} usable {} "
-                    "ticket {} room {}",
-                    Each.Step.Occurrence, Each.Step.Step, Each.Waited.count(),
-                    Each.WaitingTasks, Each.AllowedVms, Each.AvailableVms,
-                    Each.UsableVms, Each.VmsWithTicket, Each.VmsWithRoom));
+        fmt::format(
+            "{}.{} waited_ms {} tasks {} vms allowed {} held {} usable {} "
+            "ticket {} room {}",
+            Each.Step.Occurrence, Each.Step.Step, Each.Waited.count(),
+            Each.WaitingTasks, Each.AllowedVms, Each.AvailableVms,
+            Each.UsableVms, Each.VmsWithTicket, Each.VmsWithRoom));
 }
 
 void PoolOwner::recordChanges() {
@@ -362,23 +374,24 @@
       return encodeProgress(Scheduler_->progress(Job));
     });
     const auto Stage = Scheduler_->stage(Job);
-    if (Stage && isFinal(*Stage) && !Final_.contains(Job))
+    if (Stage && isFinal(*Stage) && !FinalStages_.contains(Job))
       Finals.emplace_back(Job, *Stage);
   }
-  if (Starts_.empty() && Finals.empty())
+  if (UnrecordedStarts_.empty() && Finals.empty())
     return;
   Writer_->whenCommitted([Self = shared_from_this(),
-                          Starts = std::exchange(Starts_, {}),
+                          Starts = std::exchange(UnrecordedStarts_, {}),
                           Finals = std::move(Finals)] {
     if (Self->Closed_)
       return;
     for (const auto &[Job, Stage] : Finals) {
-      Self->Final_[Job] = FinalStage{Stage, Self->Context_.Time.now()};
+      Self->FinalStages_[Job] =
+          FinalStage{Stage, Self->Context_.MonotonicClock.now()};
       Self->Context_.Events.record(EventId::JobStage, Job, jobStageName(Stage));
     }
     for (const StartRun &Start : Starts) {
       const JobPlan *Plan = Self->Scheduler_->plan(Start.Run.Task.Step.Job);
-      VmLink *Link = Self->link(Start.Vm);
+      VmLink *Link = Self->findLink(Start.Vm);
       if (Plan == nullptr || Link == nullptr)
         continue;
       Link->startRun(Start, Plan->Spec);
@@ -386,49 +399,51 @@
   });
 }
 
-void PoolOwner::tellLoad() {
-  const TimePoint Now = Context_.Time.now();
-  if (Now - LastLoad_ < LoadInterval)
+void PoolOwner::reportLoad() {
+  const TimePoint Now = Context_.MonotonicClock.now();
+  if (Now - LastLoadReportAt_ < LoadReportInterval)
     return;
-  LastLoad_ = Now;
+  LastLoadReportAt_ = Now;
   const PoolLoad Load = Scheduler_->load();
-  Context_.Metrics.poolLoad(Term_.Service, Load);
+  Context_.Metrics.setPoolLoad(Term_.Service, Load);
   if (Load.Jobs == 0)
     return;
   Context_.Events.record(
       EventId::PoolLoad, Term_.Service,
       fmt::format("vms {} held {} jobs {} waiting {} placed {} running {} "
-                  "stopping {} strangers {} cpu {} of {} pass_ms {} "
-                  "write_ms {} questions {}",
+                  "stopping {} unknown {} cpu {} of {} pass_ms {} "
+                  "write_ms {} advice_requests {}",
                   Load.Vms, Load.LeasedVms, Load.Jobs, Load.WaitingTasks,
                   Load.PlacedTasks, Load.RunningTasks, Load.StoppingTasks,
                   Load.UnknownRuns, Load.UsedMilliCores, Load.TotalMilliCores,
-                  PassTook_.count(), Writer_->expectedDelay().count(),
-                  Advice_->waiting()));
+                  LastPassDuration_.count(), Writer_->expectedDelay().count(),
+                  AdviceDispatcher_->waiting()));
 }
 
-void PoolOwner::renewRegularly() {
+void PoolOwner::runPeriodicWork() {
   if (Closed_)
     return;
-  const TimePoint Now = Context_.Time.now();
-  if (Now - Writer_->renewedAt() >= OwnerRenewal)
+  const TimePoint Now = Context_.MonotonicClock.now();
+  if (Now - Writer_->renewedAt() >= OwnerRenewalInterval)
     Writer_->renew();
   if (Scheduler_) {
-    checkUnlistedVms();
-    tellLoad();
-    wake();
-    if (Now - LastCleaning_ >= CleaningInterval)
-      forgetOldJobs();
+    removeUnlistedVms();
+    reportLoad();
+    schedulePass();
+    if (Now - LastCleanupAt_ >= CleanupInterval)
+      removeExpiredJobs();
   }
-  Context_.Home.after(IdlePass,
-                      [Self = shared_from_this()] { Self->renewRegularly(); });
+  Context_.ControlLoop.after(PeriodicWorkInterval, [Self = shared_from_this()] {
+    Self->runPeriodicWork();
+  });
 }
 
-void PoolOwner::forgetOldJobs() {
-  const TimePoint Now = Context_.Time.now();
-  LastCleaning_ = Now;
-  for (auto Entry = Final_.begin(); Entry != Final_.end();) {
-    if (Now - Entry->second.At < Context_.Settings.KeepFinished + KeepMargin) {
+void PoolOwner::removeExpiredJobs() {
+  const TimePoint Now = Context_.MonotonicClock.now();
+  LastCleanupAt_ = Now;
+  for (auto Entry = FinalStages_.begin(); Entry != FinalStages_.end();) {
+    if (Now - Entry->second.RecordedAt <
+        Context_.Settings.FinishedJobRetention + RetentionMargin) {
       ++Entry;
       continue;
     }
@@ -439,18 +454,18 @@
     Change.Removals = {requestRow(Job), cancelRow(Job)};
     Context_.Store.commit(std::move(Change), ReadTimeout,
                           [](const Result<RowCommit> &) {
-                            // A row that stays is removed by a later owner.
+                            // A row that remains is removed by a later owner.
                           });
-    Entry = Final_.erase(Entry);
+    Entry = FinalStages_.erase(Entry);
   }
 }
 
 std::optional<JobStage> PoolOwner::stage(std::string_view Job) const {
-  const auto Final = Final_.find(Job);
-  if (Final != Final_.end())
+  const auto Final = FinalStages_.find(Job);
+  if (Final != FinalStages_.end())
     return Final->second.Stage;
   const auto Stage = Scheduler_->stage(Job);
-  // A final stage is not told before it is recorded.
+  // A final stage is not reported before it is durable.
   if (Stage && isFinal(*Stage))
     return JobStage::Running;
   return Stage;
--- a/packages/fleet/src/RelayedStore.cpp
+++ b/packages/fleet/src/RelayedStore.cpp
@@ -58,7 +58,7 @@
                           std::function<void(Result<T>)> Done) {
   return [this, Kind, Done = std::move(Done),
           Begin = MonotonicClock_.now()](Result<T> Outcome) {
-    Metrics_.storeCalled(
+    Metrics_.recordStoreCall(
         Kind, Outcome ? "answered" : errorInfo(Outcome.error().Code).Name,
         std::chrono::duration_cast<milliseconds>(MonotonicClock_.now() -
                                                  Begin));
--- /dev/null
+++ b/packages/fleet/tests/AdviceDispatcherTest.cpp
@@ -0,0 +1,107 @@
+// Requests for placement advice while daemons and the advisor fail.
+
+#include <boost/test/unit_test.hpp>
+
+#include "PoolTestSupport.h"
+#include "cuminroad/fleet/AdviceDispatcher.h"
+
+using namespace cuminroad;
+
+namespace {
+
+/// Fails while Failing is set; allows all VMs otherwise.
+class FlakyAdvisor final : public PlacementAdvisor {
+public:
+  explicit FlakyAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
+  void advise(const StepName &Step, std::span<const std::string> Vms,
+              milliseconds, Done Done) override {
+    ++Calls;
+    if (Failing) {
+      ControlLoop_.after(milliseconds(20),
+                         [Done] { Done(failure(ErrorCode::ConnectFailed)); });
+      return;
+    }
+    std::vector<AdviceTicket> Allowed;
+    for (const std::string &Vm : Vms)
+      Allowed.push_back(AdviceTicket{Vm, Step.Job});
+    ControlLoop_.after(milliseconds(20), [Allowed, Done] { Done(Allowed); });
+  }
+  bool Failing = false;
+  int Calls = 0;
+
+private:
+  FakeLoop &ControlLoop_;
+};
+
+struct Fixture {
+  Fixture() : Advisor(ControlLoop), Peers(Http) {
+    Dispatcher = std::make_shared<AdviceDispatcher>(
+        Advisor, Peers, ControlLoop, ControlLoop.Time, "self",
+        [this](const StepName &) { return Needed; },
+        [this](const StepName &Step,
+               const Result<AdviceDispatcher::Answer> &Answer) {
+          if (Answer)
+            AnswerReceivedAt = ControlLoop.Time.now();
+          else
+            Dispatcher->requestAdvice(adviceRequest(Step));
+          LastAsked = Answer ? Answer->Asked.size() : 0;
+        });
+  }
+  ~Fixture() { Dispatcher->close(); }
+
+  static RequestAdvice adviceRequest(const StepName &Step) {
+    return RequestAdvice{Step, {"vm1", "vm2"}, 20, 0, false};
+  }
+
+  FakeLoop ControlLoop;
+  FlakyAdvisor Advisor;
+  FailingHttpClient Http;
+  PeerCalls Peers;
+  std::shared_ptr<AdviceDispatcher> Dispatcher;
+  bool Needed = true;
+  std::optional<TimePoint> AnswerReceivedAt;
+  std::size_t LastAsked = 0;
+};
+
+const StepName Step{"j", 0, 0};
+
+} // namespace
+
+BOOST_AUTO_TEST_CASE(adviceArrivesSoonAfterTheAdvisorRecovers) {
+  // Guards against a backoff that outlasts an outage: after an outage of 5 s, a
+  // step got no advice for 8.8 s, since the backoff had doubled to 8 s for
+  // every daemon.
+  for (int OutageMs = 1000; OutageMs <= 12000; OutageMs += 500) {
+    Fixture Setup;
+    Setup.Dispatcher->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
+    Setup.Advisor.Failing = true;
+    Setup.Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
+    Setup.ControlLoop.runFor(milliseconds(OutageMs));
+    BOOST_CHECK(!Setup.AnswerReceivedAt);
+    Setup.Advisor.Failing = false;
+    const TimePoint RecoveredAt = Setup.ControlLoop.Time.now();
+    Setup.ControlLoop.runFor(milliseconds(12000));
+    BOOST_REQUIRE_MESSAGE(Setup.AnswerReceivedAt, OutageMs << " ms outage");
+    BOOST_CHECK_MESSAGE(*Setup.AnswerReceivedAt - RecoveredAt <=
+                            milliseconds(2000),
+                        OutageMs << " ms outage");
+  }
+}
+
+BOOST_FIXTURE_TEST_CASE(requestThatIsNotNeededGetsAnEmptyAnswer, Fixture) {
+  Needed = false;
+  Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
+  ControlLoop.runFor(milliseconds(1000));
+  BOOST_CHECK(AnswerReceivedAt);
+  BOOST_CHECK_EQUAL(LastAsked, 0);
+  BOOST_CHECK_EQUAL(Advisor.Calls, 0);
+}
+
+BOOST_FIXTURE_TEST_CASE(failedPeerIsReplacedByAnotherDaemon, Fixture) {
+  // All calls to peers fail at once.
+  Dispatcher->setPeers({{"b", {"b:1", "x"}}, {"c", {"c:1", "y"}}});
+  Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
+  ControlLoop.runFor(milliseconds(1000));
+  BOOST_REQUIRE(AnswerReceivedAt);
+  BOOST_CHECK_EQUAL(LastAsked, 2);
+}
--- /dev/null
+++ b/packages/fleet/tests/JobFrontendTest.cpp
@@ -0,0 +1,241 @@
+// Answers to clients about their jobs while the store fails.
+
+#include <map>
+#include <random>
+
+#include <boost/test/unit_test.hpp>
+
+#include "PoolTestSupport.h"
+#include "cuminroad/fleet/JobFrontend.h"
+#include "cuminroad/pool/JobProgress.h"
+
+using namespace cuminroad;
+
+namespace {
+
+constexpr milliseconds CallerTimeout{3000};
+
+class StubOwnerLookup final : public OwnerLookup {
+public:
+  const OwnerRow *ownerOf(std::string_view) const override {
+    return Known ? &Row : nullptr;
+  }
+  bool Known = false;
+  OwnerRow Row{};
+};
+
+struct Fixture {
+  Fixture()
+      : Vms(ControlLoop), Store(Rows, ControlLoop), Calls(Vms, ControlLoop),
+        Events("a", 100, nullptr), Peers(Http), Advisor(ControlLoop),
+        Directory(Formats, Events),
+        Context{
+            Settings, Self,  ControlLoop.Time, SystemClock, Events, ControlLoop,
+            Store,    Calls, Advisor,          Peers,       Queues, Directory,
+            Metrics},
+        Frontend(Context, Pools, Owners) {
+    Queue.Name = "q";
+    Queue.Service = TestService;
+    // The store has answered a call before the test begins.
+    ControlLoop.runFor(milliseconds(1000));
+  }
+
+  void submit(const std::string &Id) {
+    JobPlan Plan;
+    Plan.Id = Id;
+    StepPlan Step;
+    Step.Tasks = 1;
+    Step.PerTask = TestTaskSize;
+    Plan.Steps.push_back(Step);
+    const TimePoint SubmittedAt = ControlLoop.Time.now();
+    Frontend.submit(Queue, Plan, CallerTimeout,
+                    [this, Id, SubmittedAt](SubmitReply Reply) {
+                      ++Replies;
+                      LastReply = Reply;
+                      ReplyTime = std::chrono::duration_cast<milliseconds>(
+                          ControlLoop.Time.now() - SubmittedAt);
+                    });
+  }
+  bool isWritten(const std::string &Id) const {
+    return Rows.find(requestRow(Id)) != nullptr;
+  }
+  std::optional<bool> cancel(const std::string &Id) {
+    std::optional<bool> Out;
+    Frontend.cancel(Id, CallerTimeout,
+                    [&Out](QueryResult<bool> Answer) { Out = Answer.Value; });
+    ControlLoop.runFor(2 * CallerTimeout);
+    return Out;
+  }
+  std::optional<std::optional<JobStage>> stage(const std::string &Id) {
+    std::optional<std::optional<JobStage>> Out;
+    Frontend.stage(Queue, Id, CallerTimeout,
+                   [&Out](QueryResult<std::optional<JobStage>> Answer) {
+                     Out = Answer.Value;
+                   });
+    ControlLoop.runFor(2 * CallerTimeout);
+    return Out;
+  }
+  void setStoreFate(StoreFate Fate) {
+    Store.Decide = [Fate] { return Fate; };
+  }
+
+  FakeLoop ControlLoop;
+  FakeRows Rows;
+  FakeVms Vms;
+  FakeRowStore Store;
+  FakeVmCalls Calls;
+  DaemonIdentity Self;
+  FleetSettings Settings;
+  EventLog Events;
+  SystemWallClock SystemClock;
+  FailingHttpClient Http;
+  PeerCalls Peers;
+  AllowAllAdvisor Advisor;
+  TestFormats Formats;
+  QueueRegistry Queues;
+  VmDirectory Directory;
+  FleetMetrics Metrics;
+  FleetContext Context;
+  NoOwnedPools Pools;
+  StubOwnerLookup Owners;
+  JobFrontend Frontend;
+  QueueTerms Queue;
+  int Replies = 0;
+  SubmitReply LastReply;
+  milliseconds ReplyTime{0};
+};
+
+} // namespace
+
+BOOST_FIXTURE_TEST_CASE(resubmittedJobIsNotDuplicated, Fixture) {
+  submit("j");
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_REQUIRE(isWritten("j"));
+  const std::int64_t Version = Rows.find(requestRow("j"))->Version;
+  submit("j");
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_CHECK_EQUAL(Replies, 2);
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
+  BOOST_CHECK_EQUAL(Rows.find(requestRow("j"))->Version, Version);
+}
+
+BOOST_FIXTURE_TEST_CASE(refusedJobIsNeverWritten, Fixture) {
+  setStoreFate({StoreFate::Refused, {}});
+  submit("j");
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_REQUIRE_EQUAL(Replies, 1);
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::NotAccepted);
+  BOOST_CHECK(LastReply.RetryAfter > milliseconds(0));
+  // Refusals are sent well before the caller's timeout.
+  BOOST_CHECK(ReplyTime < CallerTimeout / 2);
+  setStoreFate({StoreFate::Answered, {}});
+  ControlLoop.runFor(4 * CallerTimeout);
+  BOOST_CHECK(!isWritten("j"));
+}
+
+BOOST_FIXTURE_TEST_CASE(shortStoreOutageIsNotVisibleToCallers, Fixture) {
+  setStoreFate({StoreFate::Refused, {}});
+  submit("j");
+  ControlLoop.runFor(milliseconds(200));
+  setStoreFate({StoreFate::Answered, {}});
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
+  BOOST_CHECK(isWritten("j"));
+}
+
+BOOST_FIXTURE_TEST_CASE(writeWithALostAnswerIsRetried, Fixture) {
+  setStoreFate({StoreFate::LostAfter, {}});
+  submit("j");
+  ControlLoop.runFor(milliseconds(100));
+  setStoreFate({StoreFate::Answered, {}});
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_CHECK_EQUAL(Replies, 1);
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
+}
+
+BOOST_FIXTURE_TEST_CASE(possiblyWrittenJobIsNotReportedAsRefused, Fixture) {
+  // The first attempt takes effect late; all others are refused.
+  int Calls = 0;
+  Store.Decide = [&Calls] {
+    return Calls++ == 0 ? StoreFate{StoreFate::Late, milliseconds(2500)}
+                        : StoreFate{StoreFate::Refused, {}};
+  };
+  submit("j");
+  ControlLoop.runFor(2 * CallerTimeout);
+  BOOST_REQUIRE_EQUAL(Replies, 1);
+  BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Unknown);
+  BOOST_CHECK(ReplyTime <= CallerTimeout);
+  BOOST_CHECK(isWritten("j"));
+}
+
+BOOST_AUTO_TEST_CASE(repliesMatchTheStoreUnderRandomFaults) {
+  for (unsigned Seed = 1; Seed <= 400; ++Seed) {
+    Fixture Setup;
+    std::mt19937 Random(Seed);
+    Setup.Store.Decide = [&Random] {
+      const auto Kind = static_cast<StoreFate::Kind>(Random() % 5);
+      return StoreFate{Kind, milliseconds(Random() % 5000)};
+    };
+    Setup.submit("j");
+    Setup.ControlLoop.runFor(4 * CallerTimeout);
+    BOOST_REQUIRE_MESSAGE(Setup.Replies == 1, "seed " << Seed);
+    BOOST_CHECK_MESSAGE(Setup.ReplyTime <= CallerTimeout, "seed " << Seed);
+    const bool Written = Setup.isWritten("j");
+    if (Setup.LastReply.Outcome == SubmitOutcome::Accepted)
+      BOOST_CHECK_MESSAGE(Written, "seed " << Seed);
+    if (Setup.LastReply.Outcome == SubmitOutcome::NotAccepted)
+      BOOST_CHECK_MESSAGE(!Written, "seed " << Seed);
+  }
+}
+
+BOOST_FIXTURE_TEST_CASE(cancelReportsWhetherTheJobExists, Fixture) {
+  BOOST_CHECK(cancel("j") == std::optional<bool>(false));
+  BOOST_CHECK(Rows.find(cancelRow("j")) == nullptr);
+  submit("j");
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_CHECK(cancel("j") == std::optional<bool>(true));
+  BOOST_REQUIRE(Rows.find(cancelRow("j")) != nullptr);
+  const std::int64_t Version = Rows.find(cancelRow("j"))->Version;
+  BOOST_CHECK(cancel("j") == std::optional<bool>(true));
+  BOOST_CHECK_EQUAL(Rows.find(cancelRow("j"))->Version, Version);
+}
+
+BOOST_FIXTURE_TEST_CASE(cancelWithoutTheStoreIsUnknown, Fixture) {
+  submit("j");
+  ControlLoop.runFor(CallerTimeout);
+  setStoreFate({StoreFate::Refused, {}});
+  BOOST_CHECK(cancel("j") == std::nullopt);
+}
+
+BOOST_FIXTURE_TEST_CASE(stageIsReadFromTheStoreWithoutAnOwner, Fixture) {
+  BOOST_CHECK(stage("j") ==
+              std::optional<std::optional<JobStage>>(std::in_place));
+  submit("j");
+  ControlLoop.runFor(CallerTimeout);
+  BOOST_CHECK(stage("j") == std::optional(std::optional(JobStage::Queued)));
+  // An owner that can't be reached does not change the answer.
+  Owners.Known = true;
+  Owners.Row.PeerAddress = "b:1";
+  JobProgress Progress;
+  Progress.Stage = JobStage::Completed;
+  RowTransaction Change;
+  Change.Puts.push_back(
+      RowPut{progressRow(TestService, "j"), encodeProgress(Progress)});
+  Rows.apply(Change);
+  BOOST_CHECK(stage("j") == std::optional(std::optional(JobStage::Completed)));
+  setStoreFate({StoreFate::Refused, {}});
+  BOOST_CHECK(stage("j") == std::nullopt);
+}
+
+BOOST_FIXTURE_TEST_CASE(queueLengthIsUnknownWithoutTheOwner, Fixture) {
+  for (const bool Known : {false, true}) {
+    Owners.Known = Known;
+    Owners.Row.PeerAddress = "b:1";
+    std::optional<int> Count(7);
+    Frontend.pending(Queue, CallerTimeout, [&Count](QueryResult<int> Answer) {
+      Count = Answer.Value;
+    });
+    ControlLoop.runFor(CallerTimeout);
+    BOOST_CHECK(!Count);
+  }
+}
--- /dev/null
+++ b/packages/fleet/tests/PoolTestSupport.cpp
@@ -0,0 +1,90 @@
+#include "PoolTestSupport.h"
+
+#include <charconv>
+
+#include <fmt/format.h>
+
+namespace cuminroad {
+
+void AllowAllAdvisor::advise(const StepName &Step,
+                             std::span<const std::string> Vms, milliseconds,
+                             Done Done) {
+  std::vector<AdviceTicket> Allowed;
+  for (const std::string &Vm : Vms)
+    Allowed.push_back(AdviceTicket{Vm, Step.Job});
+  // One call in four is slow, so that others wait behind it.
+  const milliseconds Delay(++Calls_ % 4 == 0 ? 300 : 20);
+  ControlLoop_.after(Delay, [Allowed, Done] { Done(Allowed); });
+}
+
+Result<VmEntry> TestFormats::decodeVm(std::string_view Key,
+                                      std::string_view Bytes) const {
+  int Tasks = 0;
+  if (std::from_chars(Bytes.data(), Bytes.data() + Bytes.size(), Tasks).ec !=
+      std::errc{})
+    return failure(ErrorCode::MalformedInput);
+  VmEntry Out;
+  Out.Vm.Id = Key;
+  Out.Vm.Total = TestTaskSize * Tasks;
+  Out.Vm.Incarnation = 1;
+  Out.Service = TestService;
+  Out.Address = std::string(Key) + ":1";
+  return Out;
+}
+
+TestDaemon::TestDaemon(std::string Name, FakeLoop &ControlLoop, FakeRows &Rows,
+                       FakeVms &Vms, const QueueTerms &Queue)
+    : Store(Rows, ControlLoop), Calls(Vms, ControlLoop), Name_(std::move(Name)),
+      ControlLoop_(ControlLoop), Events_(Name_, 100, nullptr), Peers_(Http_),
+      Advisor_(ControlLoop), Directory_(Formats_, Events_),
+      Context_{Settings_,    Self_,   ControlLoop.Time,
+               SystemClock_, Events_, ControlLoop,
+               Store,        Calls,   Advisor_,
+               Peers_,       Queues_, Directory_,
+               Metrics_} {
+  QueueConfig Config;
+  Config.Version = 1;
+  Config.Routes.push_back(QueueRoute{"h", "/q/", milliseconds(3000), Queue});
+  Queues_.apply(Config);
+  start();
+}
+
+TestDaemon::~TestDaemon() { kill(); }
+
+void TestDaemon::start() {
+  Self_ =
+      DaemonIdentity{Name_, fmt::format("{}-{}", Name_, ++IncarnationCount_),
+                     "d", Name_ + ":1", 1.0};
+  Lease_ =
+      std::make_shared<PoolLease>(Store, ControlLoop_, ControlLoop_.Time,
+                                  Events_, Self_, std::string(TestService));
+  Lease_->OnAcquired = [this](const PoolTerm &Term) {
+    Owner_ = std::make_shared<PoolOwner>(Context_, Term);
+    Owner_->OnReplaced = [this] {
+      Owner_.reset();
+      Lease_->resumeStandby();
+    };
+    Owner_->start();
+  };
+  Lease_->start();
+}
+
+void TestDaemon::kill() {
+  if (Lease_)
+    Lease_->stop();
+  if (Owner_)
+    Owner_->close();
+  Owner_.reset();
+  Lease_.reset();
+}
+
+void TestDaemon::restart() {
+  kill();
+  start();
+}
+
+void TestDaemon::listVms(const std::vector<StoredRow> &Rows) {
+  Directory_.tableRead(Rows);
+}
+
+} // namespace cuminroad
--- a/packages/fleet/tests/PoolTrial.h
+++ b/packages/fleet/tests/PoolTestSupport.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_FLEET_TESTS_POOLTRIAL_H
-#define CUMINROAD_FLEET_TESTS_POOLTRIAL_H
+#ifndef CUMINROAD_FLEET_TESTS_POOLTESTSUPPORT_H
+#define CUMINROAD_FLEET_TESTS_POOLTESTSUPPORT_H
 
 #include <memory>
 #include <string>
@@ -15,7 +15,7 @@
 namespace cuminroad {
 
 /// An HTTP client whose calls all fail at once.
-class NoHttp final : public HttpClient {
+class FailingHttpClient final : public HttpClient {
 public:
   void send(HttpCall, HttpCallback Done) override {
     Done(failure(ErrorCode::ConnectFailed));
@@ -24,7 +24,7 @@
 };
 
 /// A daemon that owns no pool.
-class NoPools final : public OwnedPools {
+class NoOwnedPools final : public OwnedPools {
 public:
   bool owns(std::string_view) const override { return false; }
   std::optional<JobStage> stage(std::string_view,
@@ -34,20 +34,21 @@
   int pending(std::string_view, std::string_view) const override { return 0; }
 };
 
-/// Names every VM as good, after a while.
-class YesAdvisor final : public PlacementAdvisor {
+/// Allows every VM, after a delay.
+class AllowAllAdvisor final : public PlacementAdvisor {
 public:
-  explicit YesAdvisor(FakeLoop &Home) : Home_(Home) {}
+  explicit AllowAllAdvisor(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
   void advise(const StepName &, std::span<const std::string> Vms, milliseconds,
               Done Done) override;
 
 private:
-  FakeLoop &Home_;
+  FakeLoop &ControlLoop_;
   int Calls_ = 0;
 };
 
-/// A VM's entry is the number of tasks that it has room for.
-class CountFormats final : public PlatformFormats {
+/// Test formats of rows: the value of a VM's row is the number of tasks that
+/// fit on it.
+class TestFormats final : public PlatformFormats {
 public:
   std::string configTable() const override { return "op"; }
   std::string configKey() const override { return "config"; }
@@ -59,20 +60,20 @@
                            std::string_view Bytes) const override;
 };
 
-inline constexpr std::string_view TrialService = "pool";
-/// Size of the trial's tasks; a VM has room for a few of them.
-inline constexpr Capacity TrialTask{1000, 100, 0};
+inline constexpr std::string_view TestService = "pool";
+/// Size of the tests' tasks; a few of them fit on a VM.
+inline constexpr Capacity TestTaskSize{1000, 100, 0};
 
-/// A daemon that may own the trial's pool, without ports and peers.
-class TrialDaemon {
+/// A daemon that may own the test's pool, without ports and peers.
+class TestDaemon {
 public:
-  TrialDaemon(std::string Name, FakeLoop &Home, FakeRows &Rows, FakeVms &Vms,
-              const QueueTerms &Queue);
-  ~TrialDaemon();
+  TestDaemon(std::string Name, FakeLoop &ControlLoop, FakeRows &Rows,
+             FakeVms &Vms, const QueueTerms &Queue);
+  ~TestDaemon();
 
-  /// The process ends without a word, and another life of it begins.
+  /// Ends the process without a graceful shutdown and starts a new one.
   void restart();
-  /// The process ends.
+  /// Ends the process without a graceful shutdown.
   void kill();
   bool owns() const { return Owner_ && Owner_->loaded(); }
   const PoolOwner *owner() const { return Owner_.get(); }
@@ -82,20 +83,20 @@
   FakeVmCalls Calls;
 
 private:
-  void begin();
+  void start();
 
   std::string Name_;
-  FakeLoop &Home_;
-  int Lives_ = 0;
+  FakeLoop &ControlLoop_;
+  int IncarnationCount_ = 0;
   DaemonIdentity Self_;
   FleetSettings Settings_;
   EventLog Events_;
-  SystemWallClock Wall_;
-  NoHttp Http_;
+  SystemWallClock SystemClock_;
+  FailingHttpClient Http_;
   PeerCalls Peers_;
-  YesAdvisor Advisor_;
-  CountFormats Formats_;
-  QueueBook Queues_;
+  AllowAllAdvisor Advisor_;
+  TestFormats Formats_;
+  QueueRegistry Queues_;
   VmDirectory Directory_;
   FleetMetrics Metrics_;
   FleetContext Context_;
--- a/packages/fleet/tests/RelayedStoreTest.cpp
+++ b/packages/fleet/tests/RelayedStoreTest.cpp
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "../src/StoreMessages.h"
-#include "PoolTrial.h"
+#include "PoolTestSupport.h"
 #include "cuminroad/fakes/FakeRowStore.h"
 #include "cuminroad/fleet/PeerService.h"
 #include "cuminroad/fleet/RelayedStore.h"
@@ -89,7 +89,7 @@
   FakeRowStore PeerStore;
   EventLog Events;
   FleetMetrics Metrics;
-  NoPools Pools;
+  NoOwnedPools Pools;
   NoAdvisor Advisor;
   PeerHttpClient Http;
   RelayedStore Store;
--- a/packages/fleet/tests/TakeoverTest.cpp
+++ b/packages/fleet/tests/TakeoverTest.cpp
@@ -1,5 +1,6 @@
-// Two daemons, one pool: jobs through lost and late calls, cuts and kills, and
-// the history that the VMs saw.
+// Two daemons share one pool. Jobs run through lost and late calls, lost
+// connections and killed daemons; the history recorded by the VMs is then
+// checked.
 
 #include <map>
 #include <random>
@@ -8,7 +9,7 @@
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
-#include "PoolTrial.h"
+#include "PoolTestSupport.h"
 
 using namespace cuminroad;
 
@@ -17,10 +18,10 @@
 constexpr int VmCount = 4;
 constexpr int TasksPerVm = 3;
 
-QueueTerms trialQueue(bool Advised) {
+QueueTerms testQueue(bool Advised) {
   QueueTerms Out;
   Out.Name = "q";
-  Out.Service = TrialService;
+  Out.Service = TestService;
   Out.MaxAttempts = 3;
   if (Advised)
     Out.Advice = AdviceTerms{milliseconds(20), 0.1, milliseconds(2000)};
@@ -30,13 +31,13 @@
 JobRequest makeJob(int Number, std::mt19937 &Random) {
   JobRequest Out;
   Out.Queue = "q";
-  Out.Service = TrialService;
+  Out.Service = TestService;
   Out.Plan.Id = fmt::format(
       "{:016x}", 0x1111111111111111ULL * static_cast<unsigned>(Number % 16) +
                      static_cast<unsigned>(Number));
   StepPlan Step;
   Step.Tasks = 1 + static_cast<int>(Random() % 4);
-  Step.PerTask = TrialTask;
+  Step.PerTask = TestTaskSize;
   Step.Estimate = milliseconds(300);
   Out.Plan.Steps.push_back(Step);
   Step.DependsOn = {0};
@@ -44,20 +45,20 @@
   return Out;
 }
 
-/// What may go wrong in a trial, and for how much of it.
-struct TrialFaults {
+/// The kinds of faults that a scenario injects.
+struct ScenarioFaults {
   bool Store = false;
   bool Orders = false;
-  bool Kills = false;
-  bool Cuts = false;
+  bool DaemonRestarts = false;
+  bool VmCuts = false;
   /// The owner loses the store, and the other daemon some of the VMs.
-  bool Splits = false;
+  bool SplitReachability = false;
 };
 
-class Trial {
+class Scenario {
 public:
-  Trial(unsigned Seed, TrialFaults Faults)
-      : Random_(Seed), Faults_(Faults), Vms_(Home_) {
+  Scenario(unsigned Seed, ScenarioFaults Faults)
+      : Random_(Seed), Faults_(Faults), Vms_(ControlLoop_) {
     for (int Number = 0; Number < VmCount; ++Number) {
       const std::string Id = fmt::format("vm{}", Number);
       Vms_.add(Id, 1);
@@ -65,14 +66,14 @@
                                    std::to_string(TasksPerVm), 1, false});
     }
     Vms_.Plan = [this](const TaskRun &) {
-      const unsigned Longest = Faults_.Splits ? 6000 : 900;
+      const unsigned Longest = Faults_.SplitReachability ? 6000 : 900;
       return std::pair{milliseconds(100 + Random_() % Longest),
                        Random_() % 12 == 0 ? RunOutcome::Failed
                                            : RunOutcome::Done};
     };
     for (const char *Name : {"a", "b"}) {
-      auto Daemon = std::make_unique<TrialDaemon>(Name, Home_, Rows_, Vms_,
-                                                  trialQueue(Seed % 2 == 0));
+      auto Daemon = std::make_unique<TestDaemon>(
+          Name, ControlLoop_, Rows_, Vms_, testQueue(Seed % 2 == 0));
       Daemon->listVms(Entries_);
       Daemons_.push_back(std::move(Daemon));
     }
@@ -81,16 +82,17 @@
   }
 
   void run() {
-    Home_.runFor(milliseconds(3000));
+    ControlLoop_.runFor(milliseconds(3000));
     for (int Step = 0; Step < 60; ++Step) {
       submit(Step);
-      disturb();
-      Home_.runFor(milliseconds(100 + Random_() % 300));
+      injectRandomEvents();
+      ControlLoop_.runFor(milliseconds(100 + Random_() % 300));
     }
-    Calm_ = true;
-    Cut_.clear();
-    // Long enough for all the work that is left.
-    Home_.runFor(milliseconds(Faults_.Splits ? 150000 : 60000));
+    FaultsOver_ = true;
+    UnreachableVms_.clear();
+    // Long enough to finish all remaining jobs.
+    ControlLoop_.runFor(
+        milliseconds(Faults_.SplitReachability ? 150000 : 60000));
   }
 
   void check() {
@@ -104,30 +106,32 @@
         continue;
       }
       BOOST_CHECK_MESSAGE(!Running.contains(Task),
-                          "runs twice: " << Task.Step.Job);
+                          "two runs at once: " << Task.Step.Job);
       Running[Task] = {Event.Vm, Event.Run};
       BOOST_CHECK_LE(++OnVm[Event.Vm], TasksPerVm);
       if (Task.Step.Step == 1)
-        BOOST_CHECK_MESSAGE(firstStepDone(Task.Step.Job, Event.At),
-                            "started too early: " << Task.Step.Job);
+        BOOST_CHECK_MESSAGE(
+            firstStepDone(Task.Step.Job, Event.At),
+            "started before the first step was done: " << Task.Step.Job);
     }
     BOOST_CHECK(Running.empty());
     for (const auto &[Task, DoneAt] : Vms_.AcknowledgedDone)
       for (const RunEvent &Event : Vms_.History)
         BOOST_CHECK_MESSAGE(!Event.Start || Event.At <= DoneAt ||
                                 !(Event.Run.Task == Task),
-                            "started after it was done: " << Task.Step.Job);
+                            "started again after its success was acknowledged: "
+                                << Task.Step.Job);
     for (const auto &[Job, Plan] : Jobs_)
       checkJob(Job, Plan);
   }
 
 private:
   void injectFaults(std::size_t Index) {
-    TrialDaemon &Daemon = *Daemons_[Index];
+    TestDaemon &Daemon = *Daemons_[Index];
     Daemon.Store.Decide = [this, Index] {
-      if (!Calm_ && StoreCut_ == static_cast<int>(Index))
+      if (!FaultsOver_ && DaemonWithoutStore_ == static_cast<int>(Index))
         return StoreFate{StoreFate::Refused, {}};
-      if (Calm_ || !Faults_.Store)
+      if (FaultsOver_ || !Faults_.Store)
         return StoreFate{};
       switch (Random_() % 25) {
       case 0:
@@ -139,9 +143,9 @@
       }
     };
     Daemon.Calls.Decide = [this, Index](const std::string &Vm) {
-      if (Cut_.contains({Index, Vm}))
+      if (UnreachableVms_.contains({Index, Vm}))
         return OrderFate{OrderFate::Lost, {}};
-      if (Calm_ || !Faults_.Orders)
+      if (FaultsOver_ || !Faults_.Orders)
         return OrderFate{};
       switch (Random_() % 25) {
       case 0:
@@ -165,27 +169,27 @@
     Jobs_[Request.Plan.Id] = Request.Plan;
   }
 
-  void disturb() {
-    if (Faults_.Kills && Random_() % 12 == 0)
+  void injectRandomEvents() {
+    if (Faults_.DaemonRestarts && Random_() % 12 == 0)
       Daemons_[Random_() % Daemons_.size()]->restart();
     if (Faults_.Store && Random_() % 10 == 0)
-      StoreCut_ = static_cast<int>(Random_() % 4);
-    if (Faults_.Cuts && Random_() % 6 == 0)
-      Cut_.insert({Random_() % Daemons_.size(),
-                   fmt::format("vm{}", Random_() % VmCount)});
-    if (Faults_.Splits && Random_() % 10 == 0)
-      split();
+      DaemonWithoutStore_ = static_cast<int>(Random_() % 4);
+    if (Faults_.VmCuts && Random_() % 6 == 0)
+      UnreachableVms_.insert({Random_() % Daemons_.size(),
+                              fmt::format("vm{}", Random_() % VmCount)});
+    if (Faults_.SplitReachability && Random_() % 10 == 0)
+      splitReachability();
     if (Random_() % 40 == 0)
-      Cut_.clear();
+      UnreachableVms_.clear();
   }
 
-  void split() {
+  void splitReachability() {
     for (std::size_t Index = 0; Index < Daemons_.size(); ++Index)
       if (Daemons_[Index]->owns())
-        StoreCut_ = static_cast<int>(Index);
-    Cut_.clear();
+        DaemonWithoutStore_ = static_cast<int>(Index);
+    UnreachableVms_.clear();
     for (const char *Vm : {"vm0", "vm1"})
-      Cut_.insert({StoreCut_ == 0 ? 1U : 0U, Vm});
+      UnreachableVms_.insert({DaemonWithoutStore_ == 0 ? 1U : 0U, Vm});
   }
 
   bool firstStepDone(const std::string &Job, TimePoint Before) const {
@@ -198,8 +202,8 @@
   }
 
   void checkJob(const std::string &Job, const JobPlan &Plan) const {
-    const StoredRow *Row = Rows_.find(progressRow(TrialService, Job));
-    BOOST_REQUIRE_MESSAGE(Row != nullptr, "never begun: " << Job);
+    const StoredRow *Row = Rows_.find(progressRow(TestService, Job));
+    BOOST_REQUIRE_MESSAGE(Row != nullptr, "no progress recorded: " << Job);
     const auto Progress = decodeProgress(Row->Value);
     BOOST_REQUIRE(Progress);
     BOOST_CHECK_MESSAGE(isFinal(Progress->Stage),
@@ -214,52 +218,52 @@
   }
 
   std::mt19937 Random_;
-  TrialFaults Faults_;
-  FakeLoop Home_;
+  ScenarioFaults Faults_;
+  FakeLoop ControlLoop_;
   FakeRows Rows_;
   FakeVms Vms_;
   std::vector<StoredRow> Entries_;
-  std::vector<std::unique_ptr<TrialDaemon>> Daemons_;
+  std::vector<std::unique_ptr<TestDaemon>> Daemons_;
   std::map<std::string, JobPlan> Jobs_;
-  std::set<std::pair<std::size_t, std::string>> Cut_;
-  int StoreCut_ = -1;
-  bool Calm_ = false;
+  std::set<std::pair<std::size_t, std::string>> UnreachableVms_;
+  int DaemonWithoutStore_ = -1;
+  bool FaultsOver_ = false;
 };
 
-void runTrials(unsigned First, unsigned Last, TrialFaults Faults) {
+void runScenarios(unsigned First, unsigned Last, ScenarioFaults Faults) {
   for (unsigned Seed = First; Seed <= Last; ++Seed) {
     BOOST_TEST_CONTEXT("seed " << Seed) {
-      Trial Each(Seed, Faults);
-      Each.run();
-      Each.check();
+      Scenario Next(Seed, Faults);
+      Next.run();
+      Next.check();
     }
   }
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(calm) { runTrials(1, 4, TrialFaults{}); }
+BOOST_AUTO_TEST_CASE(noFaults) { runScenarios(1, 4, ScenarioFaults{}); }
 
-BOOST_AUTO_TEST_CASE(storeLosesDelaysAndRefuses) {
-  runTrials(101, 115, TrialFaults{true, false, false, false, false});
+BOOST_AUTO_TEST_CASE(storeCallsAreLostDelayedOrRefused) {
+  runScenarios(101, 115, ScenarioFaults{true, false, false, false, false});
 }
 
-BOOST_AUTO_TEST_CASE(ordersAreLostAndLate) {
-  runTrials(201, 215, TrialFaults{false, true, false, false, false});
+BOOST_AUTO_TEST_CASE(ordersAreLostOrDelayed) {
+  runScenarios(201, 215, ScenarioFaults{false, true, false, false, false});
 }
 
 BOOST_AUTO_TEST_CASE(daemonsAreKilled) {
-  runTrials(301, 315, TrialFaults{false, false, true, false, false});
+  runScenarios(301, 315, ScenarioFaults{false, false, true, false, false});
 }
 
-BOOST_AUTO_TEST_CASE(vmsAreCutOff) {
-  runTrials(401, 415, TrialFaults{false, false, false, true, false});
+BOOST_AUTO_TEST_CASE(vmsAreUnreachable) {
+  runScenarios(401, 415, ScenarioFaults{false, false, false, true, false});
 }
 
 BOOST_AUTO_TEST_CASE(ownerAndStandbyReachDifferentVms) {
-  runTrials(601, 615, TrialFaults{false, false, false, false, true});
+  runScenarios(601, 615, ScenarioFaults{false, false, false, false, true});
 }
 
-BOOST_AUTO_TEST_CASE(everythingAtOnce) {
-  runTrials(501, 530, TrialFaults{true, true, true, true, false});
+BOOST_AUTO_TEST_CASE(allFaultsCombined) {
+  runScenarios(501, 530, ScenarioFaults{true, true, true, true, false});
 }
--- a/packages/fleet/tests/VmLinkTest.cpp
+++ b/packages/fleet/tests/VmLinkTest.cpp
@@ -1,4 +1,4 @@
-// When a VM's leases count as lapsed, and how starts are settled.
+// When a VM's leases count as expired, and how starts are completed.
 
 #include <boost/test/unit_test.hpp>
 
@@ -12,9 +12,9 @@
 
 const TaskRun Run{{{"j", 0, 0}, 0}, 1};
 
-/// A link to one VM, and what it told.
-struct Fixture : VmLinkEvents {
-  Fixture() : Vms(Home), Calls(Vms, Home) { Vms.add("a", 1); }
+/// A link to one VM; records the events of the link.
+struct Fixture : VmLinkListener {
+  Fixture() : Vms(ControlLoop), Calls(Vms, ControlLoop) { Vms.add("a", 1); }
 
   void connect(milliseconds Inherited = {}) {
     VmEntry Entry;
@@ -22,9 +22,9 @@
     Entry.Address = "a:1";
     VmLink::Options Options;
     Options.FencingToken = 1;
-    Options.InheritedUntil = Home.Time.now() + Inherited;
-    Link =
-        std::make_shared<VmLink>(Entry, Options, Calls, Home, Home.Time, *this);
+    Options.InheritedLeasesUntil = ControlLoop.Time.now() + Inherited;
+    Link = std::make_shared<VmLink>(Entry, Options, Calls, ControlLoop,
+                                    ControlLoop.Time, *this);
     Link->start();
   }
   ~Fixture() override {
@@ -32,42 +32,45 @@
       Link->close();
   }
 
-  void reported(VmLink &, const HoldAnswer &Answer, TimePoint) override {
+  void onReport(VmLink &, const HoldAnswer &Answer, TimePoint) override {
     ++Reports;
     LastAnswer = Answer;
     for (const TaskEnd &End : Answer.Ends)
-      Home.after(RecordTime, [this, Born = Answer.Born, Number = End.Number] {
-        Link->acknowledge(Born, Number);
+      ControlLoop.after(RecordingDelay, [this, Incarnation = Answer.Incarnation,
+                                         Number = End.Number] {
+        Link->acknowledge(Incarnation, Number);
       });
   }
-  void unanswered(VmLink &) override {}
-  void silent(VmLink &, std::string_view, int Tries) override {
-    SilentTries.push_back(Tries);
+  void onNoAnswer(VmLink &) override {}
+  void onUnreachable(VmLink &, std::string_view, int Attempts) override {
+    UnreachableAttempts.push_back(Attempts);
   }
-  void answering(VmLink &) override { ++Answering; }
-  void lapsed(VmLink &) override { LapsedAt = Home.Time.now(); }
-  void fenced(VmLink &) override { Fenced = true; }
-  void startAnswered(VmLink &, const TaskRun &, StartOutcome Outcome,
-                     std::string_view) override {
+  void onReachable(VmLink &) override { ++ReachableReports; }
+  void onLeaseExpired(VmLink &) override {
+    LeaseExpiredAt = ControlLoop.Time.now();
+  }
+  void onFenced(VmLink &) override { Fenced = true; }
+  void onStartAnswered(VmLink &, const TaskRun &, StartOutcome Outcome,
+                       std::string_view) override {
     Outcomes.push_back(Outcome);
   }
-  void stopAnswered(VmLink &, const TaskRun &) override { ++Stopped; }
-  bool wanted(const VmLink &, const TaskRun &) const override { return true; }
+  void onStopAnswered(VmLink &, const TaskRun &) override { ++Stopped; }
+  bool isWanted(const VmLink &, const TaskRun &) const override { return true; }
   TimePoint leaseLimit() const override { return TimePoint::max(); }
 
-  FakeLoop Home;
-  /// How long it takes to record an end.
-  milliseconds RecordTime{0};
+  FakeLoop ControlLoop;
+  /// Delay after which an end is acknowledged as durable.
+  milliseconds RecordingDelay{0};
   FakeVms Vms;
   FakeVmCalls Calls;
   std::shared_ptr<VmLink> Link;
   int Reports = 0;
   int Stopped = 0;
   HoldAnswer LastAnswer;
-  std::vector<int> SilentTries;
-  int Answering = 0;
+  std::vector<int> UnreachableAttempts;
+  int ReachableReports = 0;
   bool Fenced = false;
-  std::optional<TimePoint> LapsedAt;
+  std::optional<TimePoint> LeaseExpiredAt;
   std::vector<StartOutcome> Outcomes;
 };
 
@@ -78,84 +81,87 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(vmNeverReachedHoldsUntilInheritedLeasesEnd, Fixture) {
+BOOST_FIXTURE_TEST_CASE(unreachedVmExpiresOnlyAfterInheritedLeases, Fixture) {
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
-  const TimePoint Begin = Home.Time.now();
-  connect(InheritedWait);
-  Home.runFor(InheritedWait * 2);
-  BOOST_REQUIRE(LapsedAt);
-  BOOST_CHECK(*LapsedAt - Begin >= InheritedWait);
+  const TimePoint Begin = ControlLoop.Time.now();
+  connect(InheritedLeaseWait);
+  ControlLoop.runFor(InheritedLeaseWait * 2);
+  BOOST_REQUIRE(LeaseExpiredAt);
+  BOOST_CHECK(*LeaseExpiredAt - Begin >= InheritedLeaseWait);
 }
 
-BOOST_FIXTURE_TEST_CASE(cutVmLapsesAfterItsLeaseAndNotBefore, Fixture) {
+BOOST_FIXTURE_TEST_CASE(unreachableVmExpiresAfterItsLeaseAndNotBefore,
+                        Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Link->startRun(startOf(), "spec");
   Vms.Plan = [](const TaskRun &) {
     return std::pair{milliseconds(60000), RunOutcome::Done};
   };
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
-  Home.runFor(TaskLease * 3);
-  BOOST_CHECK(!SilentTries.empty());
-  BOOST_REQUIRE(LapsedAt);
-  // The VM ended the run by itself, before the link counted it as ended.
+  ControlLoop.runFor(TaskLease * 3);
+  BOOST_CHECK(!UnreachableAttempts.empty());
+  BOOST_REQUIRE(LeaseExpiredAt);
+  // The VM ended the run itself, before the link reported the lease as expired.
   const RunEvent &End = Vms.History.back();
   BOOST_REQUIRE(!End.Start);
   BOOST_CHECK(End.How == RunOutcome::LeaseLapsed);
-  BOOST_CHECK(End.At <= *LapsedAt);
+  BOOST_CHECK(End.At <= *LeaseExpiredAt);
 }
 
-BOOST_FIXTURE_TEST_CASE(lostAnswerIsSettledByARepeat, Fixture) {
+BOOST_FIXTURE_TEST_CASE(startWithALostAnswerIsCompletedByARepeat, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   int Orders = 0;
   Calls.Decide = [&](const std::string &) {
     return ++Orders == 1 ? OrderFate{OrderFate::AnswerLost, {}} : OrderFate{};
   };
   Link->startRun(startOf(), "spec");
-  Home.runFor(milliseconds(5000));
+  ControlLoop.runFor(milliseconds(5000));
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
-  // The run is over by then: not a refusal, since it was carried out.
+  // The run has ended by then. The start is not reported as refused, since it
+  // was carried out.
   BOOST_CHECK(Outcomes[0] == StartOutcome::OldRun);
 }
 
 BOOST_FIXTURE_TEST_CASE(startWithAnExpiredTicketIsNotSent, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   const int Before = Calls.Starts;
-  Link->startRun(startOf("t", Home.Time.now()), "spec");
+  Link->startRun(startOf("t", ControlLoop.Time.now()), "spec");
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Outcomes[0] == StartOutcome::TicketExpired);
   BOOST_CHECK_EQUAL(Calls.Starts, Before);
 }
 
-BOOST_FIXTURE_TEST_CASE(newerOwnerEndsTheLink, Fixture) {
+BOOST_FIXTURE_TEST_CASE(newerOwnerFencesTheLink, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Vms.hold(VmTarget{"a", "a:1", 2, false}, HoldOrder{});
-  Home.runFor(milliseconds(3000));
+  ControlLoop.runFor(milliseconds(3000));
   BOOST_CHECK(Fenced);
 }
 
-BOOST_FIXTURE_TEST_CASE(restartedVmIsReportedWithItsNewLife, Fixture) {
+BOOST_FIXTURE_TEST_CASE(restartedVmIsReportedWithItsNewIncarnation, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Vms.restart("a", 7);
-  Home.runFor(milliseconds(3000));
-  BOOST_CHECK_EQUAL(LastAnswer.Born, 7);
+  ControlLoop.runFor(milliseconds(3000));
+  BOOST_CHECK_EQUAL(LastAnswer.Incarnation, 7);
 }
 
-BOOST_FIXTURE_TEST_CASE(startThatIsNeverAnsweredForCertainExpires, Fixture) {
-  // Found as tasks that waited for 30 s: the first try timed out, and the VM
-  // refused each repeat as unhealthy.
+BOOST_FIXTURE_TEST_CASE(startWithoutADefiniteAnswerExpires, Fixture) {
+  // Guards against tasks that wait for 30 s: the first attempt timed out, and
+  // the VM refused each repeat as unhealthy, so that the start was never
+  // completed.
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   bool First = true;
   Calls.Decide = [&](const std::string &) {
     return std::exchange(First, false) ? OrderFate{OrderFate::Lost, {}}
@@ -163,111 +169,115 @@
   };
   Link->startRun(startOf(), "spec");
   Calls.Unhealthy = true;
-  Home.runFor(TaskLease * 2);
+  ControlLoop.runFor(TaskLease * 2);
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Outcomes[0] == StartOutcome::OldRun);
-  // Nothing arrives after that.
+  // No start is sent after that.
   const int Sent = Calls.Starts;
   Calls.Unhealthy = false;
-  Home.runFor(TaskLease * 2);
+  ControlLoop.runFor(TaskLease * 2);
   BOOST_CHECK_EQUAL(Calls.Starts, Sent);
   BOOST_CHECK_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Vms.History.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(stopIsAskedForAgainAfterAnUnhealthyTime, Fixture) {
+BOOST_FIXTURE_TEST_CASE(stopCanBeSentAgainAfterTheVmWasUnhealthy, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Calls.Unhealthy = true;
   Link->stopRun(Run);
-  // The same stop under way is not doubled.
+  // A stop that is already pending is not sent twice.
   Link->stopRun(Run);
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Stopped, 0);
   Calls.Unhealthy = false;
   Link->stopRun(Run);
-  Home.runFor(milliseconds(1000));
+  ControlLoop.runFor(milliseconds(1000));
   BOOST_CHECK_EQUAL(Stopped, 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(unhealthyVmIsAskedOnTheSameConnection, Fixture) {
-  // Found as VMs that took no more connections: each repeat left one open.
+BOOST_FIXTURE_TEST_CASE(holdsToAnUnhealthyVmReuseTheConnection, Fixture) {
+  // Guards against VMs that run out of connections: each repeated hold opened a
+  // new one and left the old one open.
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Calls.HoldsUnhealthy = true;
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Calls.FreshHolds, 0);
-  // A connection that has gone silent is not used again.
+  // After an unanswered order, a new connection is opened.
   Calls.HoldsUnhealthy = false;
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_GE(Calls.FreshHolds, 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(silenceIsToldAtDoublingsAndItsEndOnce, Fixture) {
-  // One line at its begin does not show that a VM is silent to the end.
+BOOST_FIXTURE_TEST_CASE(failuresAreReportedAtDoublingCountsAndRecoveryOnce,
+                        Fixture) {
+  // A single report at the beginning would not show that a VM never recovers.
   connect();
-  Home.runFor(milliseconds(500));
-  BOOST_CHECK_EQUAL(Answering, 1);
+  ControlLoop.runFor(milliseconds(500));
+  BOOST_CHECK_EQUAL(ReachableReports, 1);
   Calls.HoldsUnhealthy = true;
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   const std::vector<int> Expected{2, 4, 8, 16, 32};
-  BOOST_CHECK_EQUAL_COLLECTIONS(SilentTries.begin(), SilentTries.end(),
-                                Expected.begin(), Expected.end());
+  BOOST_CHECK_EQUAL_COLLECTIONS(UnreachableAttempts.begin(),
+                                UnreachableAttempts.end(), Expected.begin(),
+                                Expected.end());
   Calls.HoldsUnhealthy = false;
-  Home.runFor(milliseconds(3000));
-  BOOST_CHECK_EQUAL(Answering, 2);
+  ControlLoop.runFor(milliseconds(3000));
+  BOOST_CHECK_EQUAL(ReachableReports, 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(failedHoldsAreRepeatedAtOnePace, Fixture) {
-  // An end that was acknowledged while a hold was planned left a timer more,
-  // and each of them went on asking the VM.
-  RecordTime = milliseconds(40);
+BOOST_FIXTURE_TEST_CASE(failedHoldsAreRepeatedAtAFixedInterval, Fixture) {
+  // Guards against duplicate timers: an end that was acknowledged while a hold
+  // was scheduled left a second timer, and each of them kept sending holds.
+  RecordingDelay = milliseconds(40);
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Link->startRun(startOf(), "spec");
   const auto Ended = [this] { return !LastAnswer.Ends.empty(); };
   while (!Ended())
-    Home.runFor(milliseconds(10));
-  Home.runFor(RecordTime);
+    ControlLoop.runFor(milliseconds(10));
+  ControlLoop.runFor(RecordingDelay);
   Calls.HoldsUnhealthy = true;
-  Home.runFor(milliseconds(3000));
+  ControlLoop.runFor(milliseconds(3000));
   const int Before = Calls.Holds;
-  Home.runFor(milliseconds(10000));
-  // Every 250 ms.
+  ControlLoop.runFor(milliseconds(10000));
+  // Failed holds are repeated every 250 ms.
   BOOST_CHECK_LE(Calls.Holds - Before, 40);
   BOOST_CHECK_GE(Calls.Holds - Before, 30);
 }
 
-BOOST_FIXTURE_TEST_CASE(openStartIsStoppedInTheNewLifeOfAVm, Fixture) {
-  // Found by the soak: an order meant for the earlier life may be carried out
-  // in the new one, whose clock has just begun, seconds later.
+BOOST_FIXTURE_TEST_CASE(pendingStartIsStoppedInTheNewIncarnation, Fixture) {
+  // An order for a VM's earlier incarnation can be carried out seconds later by
+  // the new one, since its clock has just started and the order's lease has not
+  // expired by it.
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Late, milliseconds(3000)};
   };
   Link->startRun(startOf(), "spec");
   Calls.Decide = nullptr;
   Vms.restart("a", 7);
-  Home.runFor(milliseconds(10000));
+  ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Stopped, 1);
   BOOST_CHECK(Vms.History.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(restartedVmMayHoldTheLongestLease, Fixture) {
+BOOST_FIXTURE_TEST_CASE(restartedVmIsAssumedToHoldTheLongestLease, Fixture) {
   connect();
-  Home.runFor(milliseconds(500));
+  ControlLoop.runFor(milliseconds(500));
   Vms.restart("a", 7);
-  while (LastAnswer.Born != 7)
-    Home.runFor(milliseconds(1));
-  const TimePoint Restarted = Home.Time.now();
+  while (LastAnswer.Incarnation != 7)
+    ControlLoop.runFor(milliseconds(1));
+  const TimePoint Restarted = ControlLoop.Time.now();
   Calls.Decide = [](const std::string &) {
     return OrderFate{OrderFate::Lost, {}};
   };
-  Home.runFor(milliseconds(20000));
-  BOOST_REQUIRE(LapsedAt);
-  BOOST_CHECK(*LapsedAt - Restarted >= VmLink::Options{}.MaxLease);
+  ControlLoop.runFor(milliseconds(20000));
+  BOOST_REQUIRE(LeaseExpiredAt);
+  BOOST_CHECK(*LeaseExpiredAt - Restarted >= VmLink::Options{}.MaxLease);
 }
