--- a/packages/daemon/include/cuminroad/daemon/OnceBook.h
+++ b/packages/daemon/include/cuminroad/daemon/IdempotencyCache.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_ONCEBOOK_H
-#define CUMINROAD_DAEMON_ONCEBOOK_H
+#ifndef CUMINROAD_DAEMON_IDEMPOTENCYCACHE_H
+#define CUMINROAD_DAEMON_IDEMPOTENCYCACHE_H
 
 #include <cstdint>
 #include <map>
@@ -14,59 +14,60 @@
 namespace cuminroad {
 
 /// What this process knows of a request that may run only once.
-enum class OnceState {
+enum class IdempotencyState {
   /// Known, and certainly not sent so far.
-  Fresh,
+  NotStarted,
   InFlight,
   /// Ran; the answer is kept.
-  Done,
+  Completed,
   /// Ran or may have run; the answer is no longer kept.
-  Spent,
+  ResponseDropped,
   /// Not known to this process.
-  Absent,
+  Unknown,
 };
 
 /// Remembers the requests that this process alone may run, and their answers,
 /// so that a retry gets the first run's answer and never a second run.
-class OnceBook {
+class IdempotencyCache {
 public:
   /// \param Life how long a ticket can be used and an answer is kept.
   /// \param AnswerBytes answers kept at most, in bytes; the oldest go first.
-  OnceBook(const Clock &Clock, milliseconds Life, std::size_t AnswerBytes);
+  IdempotencyCache(const Clock &Clock, milliseconds Lifetime,
+                   std::size_t MaxResponseBytes);
 
   /// Adds \p Name as fresh, unless it is known.
-  void add(const std::string &Name);
-  OnceState state(std::string_view Name) const;
+  void add(const std::string &Key);
+  IdempotencyState state(std::string_view Key) const;
   /// Marks a fresh entry as in flight.
-  void start(const std::string &Name);
+  void markInFlight(const std::string &Key);
   /// The request certainly did not run: it may be tried again.
-  void reopen(const std::string &Name);
+  void markNotStarted(const std::string &Key);
   /// Adds a caller that waits for an entry in flight.
-  void wait(const std::string &Name, HttpResponder Respond);
+  void addWaiter(const std::string &Key, HttpResponder Respond);
   /// Keeps the answer. \returns the callers that waited.
-  std::vector<HttpResponder> finish(const std::string &Name,
-                                    const HttpResponse &Answer);
+  std::vector<HttpResponder> complete(const std::string &Key,
+                                      const HttpResponse &Response);
   /// \returns the kept answer of an entry that is done.
-  HttpResponse answer(const std::string &Name) const;
+  HttpResponse cachedResponse(const std::string &Key) const;
   /// Drops entries whose life is over.
-  void expire();
+  void dropExpired();
   std::size_t size() const { return Entries_.size(); }
 
 private:
   struct Entry {
-    OnceState State = OnceState::Fresh;
-    TimePoint Until{};
-    HttpResponse Answer;
+    IdempotencyState State = IdempotencyState::NotStarted;
+    TimePoint ExpiresAt{};
+    HttpResponse Response;
     std::vector<HttpResponder> Waiters;
   };
-  void dropOldAnswers();
+  void evictOldestResponses();
 
   const Clock &Clock_;
-  milliseconds Life_;
-  std::size_t AnswerBytes_;
-  std::size_t Kept_ = 0;
+  milliseconds Lifetime_;
+  std::size_t MaxResponseBytes_;
+  std::size_t CachedBytes_ = 0;
   std::map<std::string, Entry, std::less<>> Entries_;
-  std::vector<std::string> Finished_;
+  std::vector<std::string> CompletionOrder_;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/include/cuminroad/daemon/KeyClaims.h
+++ b/packages/daemon/include/cuminroad/daemon/IdempotencyKeyStore.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_KEYCLAIMS_H
-#define CUMINROAD_DAEMON_KEYCLAIMS_H
+#ifndef CUMINROAD_DAEMON_IDEMPOTENCYKEYSTORE_H
+#define CUMINROAD_DAEMON_IDEMPOTENCYKEYSTORE_H
 
 #include <functional>
 #include <string>
@@ -12,7 +12,7 @@
 namespace cuminroad {
 
 /// Who may run the request with a caller's key.
-struct KeyClaim {
+struct IdempotencyKeyClaim {
   std::string Daemon;
   std::string Incarnation;
 };
@@ -20,30 +20,32 @@
 /// Claims callers' idempotency keys in the table before their requests are
 /// sent. Claims that come while a write is under way share the next one.
 /// Everything runs on the control thread.
-class KeyClaims {
+class IdempotencyKeyStore {
 public:
   /// Called with the claim that holds; it may be another daemon's, or an
   /// earlier one of this daemon. PlatformUnavailable and WriteOutcomeUnknown
   /// mean that no claim is known to hold.
-  using Done = std::function<void(Result<KeyClaim>, bool Won)>;
+  using ClaimCallback =
+      std::function<void(Result<IdempotencyKeyClaim>, bool NewlyClaimed)>;
 
-  KeyClaims(Table &Rows, Loop &Home, const Identity &Self);
-  void claim(std::string Key, Done Done);
+  IdempotencyKeyStore(Table &KeyTable, Loop &ControlLoop, const Identity &Self);
+  void claim(std::string Key, ClaimCallback Done);
 
 private:
-  struct Request {
+  struct PendingClaim {
     std::string Key;
-    Done Answer;
+    ClaimCallback Done;
   };
-  void flush();
-  void settle(std::vector<Request> Batch, const Result<CommitOutcome> &Outcome);
-  void lookUp(Request Lost);
+  void writeBatch();
+  void handleCommitResult(std::vector<PendingClaim> Batch,
+                          const Result<CommitOutcome> &Outcome);
+  void readExistingClaim(PendingClaim Taken);
 
-  Table &Rows_;
-  Loop &Home_;
+  Table &Table_;
+  Loop &ControlLoop_;
   Identity Self_;
-  std::vector<Request> Queue_;
-  bool Writing_ = false;
+  std::vector<PendingClaim> Queue_;
+  bool WriteInProgress_ = false;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/include/cuminroad/daemon/VmSession.h
+++ b/packages/daemon/include/cuminroad/daemon/VmSession.h
@@ -51,7 +51,7 @@
 
 /// A service request that a VM is working on.
 struct RequestInFlight {
-  /// "DAEMON-INCARNATION-...", see FrontDoor.
+  /// "DAEMON-INCARNATION-...", see RequestFrontend.
   std::string Id;
   std::string Customer;
 };
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -83,8 +83,8 @@
 
 } // namespace
 
-Api::Api(DaemonParts &Parts, FrontDoor &Door, Metrics &Figures)
-    : Parts_(Parts), Door_(Door), Metrics_(Figures) {}
+Api::Api(DaemonParts &Parts, RequestFrontend &Frontend, Metrics &Figures)
+    : Parts_(Parts), Frontend_(Frontend), Metrics_(Figures) {}
 
 void Api::handle(HttpRequest Request, HttpResponder Respond) {
   const Path Parts = splitPath(Request.Path);
@@ -101,11 +101,11 @@
     if (!Parts_.Keeper.ready())
       return Respond(
           outcomeReply(Outcome::NotRun, Error{ErrorCode::NotReady, {}}));
-    return Door_.request(Parts[2], Parts[4], std::move(Request),
-                         std::move(Respond));
+    return Frontend_.handleRequest(Parts[2], Parts[4], std::move(Request),
+                                   std::move(Respond));
   }
   if (Post && Request.Path == "/v1/tickets")
-    return Respond(Door_.issueTicket());
+    return Respond(Frontend_.issueTicket());
   Parts_.Control->post([this, Parts, Request = std::move(Request),
                         Respond = std::move(Respond)] {
     handleControl(Parts, Request, Respond);
@@ -124,7 +124,7 @@
   if (Request.Path == "/metrics")
     return Respond(HttpResponse{200,
                                 {},
-                                Metrics_.render(Parts_, Door_, Peers()),
+                                Metrics_.render(Parts_, Frontend_, Peers()),
                                 "text/plain; version=0.0.4"});
   const bool Known = Parts.size() >= 2 && Parts[0] == "v1";
   if (Known && Parts[1] == "jobs" &&
@@ -348,7 +348,7 @@
                      {"epoch", Owner.Epoch},
                      {"platform_reachable", Parts_.Rows.reachable()},
                      {"config_version", Parts_.Keeper.appliedVersion()},
-                     {"requests_waiting", Door_.waiting()},
+                     {"requests_waiting", Frontend_.waitingRequests()},
                      {"daemons", Members}};
   if (Parts_.Domain) {
     Out["vms"] = nlohmann::json::array();
--- a/packages/daemon/src/Api.h
+++ b/packages/daemon/src/Api.h
@@ -17,7 +17,7 @@
 /// is worked on by the control thread.
 class Api {
 public:
-  Api(DaemonParts &Parts, FrontDoor &Door, Metrics &Figures);
+  Api(DaemonParts &Parts, RequestFrontend &Frontend, Metrics &Figures);
 
   void handle(HttpRequest Request, HttpResponder Respond);
   /// Whether callers may be sent here.
@@ -57,7 +57,7 @@
                  HttpResponder Respond);
 
   DaemonParts &Parts_;
-  FrontDoor &Door_;
+  RequestFrontend &Frontend_;
   Metrics &Metrics_;
 };
 
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -56,7 +56,7 @@
 
   DaemonParts Parts_;
   Metrics Metrics_;
-  FrontDoor Door_;
+  RequestFrontend Frontend_;
   Api Api_;
   TablelessTakeover Takeover_;
   std::unique_ptr<PeerSocket> Peers_;
@@ -71,13 +71,15 @@
 
 EntryDaemon::EntryDaemon(const Settings &Config)
     : Parts_(Config),
-      Door_(FrontDoorContext{Parts_.Config, Parts_.Self, Parts_.Time,
-                             Parts_.Events, *Parts_.Control,
-                             *Parts_.TrafficClient, Parts_.Contracts,
-                             Parts_.Members, Parts_.Claims},
-            [this] { askOwnerSoon(); }),
-      Api_(Parts_, Door_, Metrics_), Takeover_(Parts_) {
-  Door_.OnStartWait = [this](double Wait) { Metrics_.observeStartWait(Wait); };
+      Frontend_(RequestFrontendContext{Parts_.Config, Parts_.Self, Parts_.Time,
+                                       Parts_.Events, *Parts_.Control,
+                                       *Parts_.TrafficClient, Parts_.Contracts,
+                                       Parts_.Members, Parts_.Claims},
+                [this] { askOwnerSoon(); }),
+      Api_(Parts_, Frontend_, Metrics_), Takeover_(Parts_) {
+  Frontend_.OnStartWait = [this](double Wait) {
+    Metrics_.observeStartWait(Wait);
+  };
   Api_.IsReady = [this] { return Parts_.Keeper.ready() && !Stopping_; };
   Api_.Peers = [this] {
     return PeerTraffic{Peers_->bytesSent(), PeerBytesReceived_};
@@ -210,7 +212,7 @@
   Request.Incarnation = Parts_.Self.Incarnation;
   Request.ReplyTo = Parts_.Self.Peer;
   Request.Stamp = Parts_.Events.logicalClock().next();
-  Door_.reportGrants(Request);
+  Frontend_.fillGrantRequest(Request);
   if (Parts_.Domain)
     take(Parts_.Domain->answerGrants(Request));
   else
@@ -224,12 +226,12 @@
 }
 
 void EntryDaemon::sweepRegularly() {
-  Door_.sweep();
+  Frontend_.endExpiredRequests();
   Parts_.Control->after(SweepInterval, [this] { sweepRegularly(); });
 }
 
 void EntryDaemon::expireRegularly() {
-  Door_.expire();
+  Frontend_.dropExpiredResponses();
   Parts_.Control->after(ExpireInterval, [this] { expireRegularly(); });
 }
 
@@ -271,7 +273,7 @@
   if (Message.Epoch < Parts_.Owners.owner().Epoch)
     return;
   Takeover_.noteOwner();
-  Door_.applyGrants(Message);
+  Frontend_.applyGrantReply(Message);
 }
 
 void EntryDaemon::take(const GrantNotice &Message) {
--- a/packages/daemon/src/DaemonParts.h
+++ b/packages/daemon/src/DaemonParts.h
@@ -10,11 +10,11 @@
 #include "cuminroad/daemon/ConfigKeeper.h"
 #include "cuminroad/daemon/ContractBook.h"
 #include "cuminroad/daemon/DomainOwner.h"
-#include "cuminroad/daemon/FrontDoor.h"
+#include "cuminroad/daemon/IdempotencyKeyStore.h"
 #include "cuminroad/daemon/Identity.h"
-#include "cuminroad/daemon/KeyClaims.h"
 #include "cuminroad/daemon/MemberBook.h"
 #include "cuminroad/daemon/Ownership.h"
+#include "cuminroad/daemon/RequestFrontend.h"
 #include "cuminroad/net/HttpClient.h"
 #include "cuminroad/net/Loop.h"
 #include "cuminroad/store/HttpTable.h"
@@ -47,7 +47,7 @@
   MemberBook Members;
   ConfigKeeper Keeper;
   Ownership Owners;
-  KeyClaims Claims;
+  IdempotencyKeyStore Claims;
   /// Set while this daemon owns its domain.
   std::shared_ptr<DomainOwner> Domain;
   VmListing LastListing;
--- /dev/null
+++ b/packages/daemon/src/IdempotencyKeyStore.cpp
@@ -0,0 +1,99 @@
+#include "cuminroad/daemon/IdempotencyKeyStore.h"
+
+#include <algorithm>
+#include <set>
+
+#include "cuminroad/base/Ids.h"
+
+namespace cuminroad {
+
+namespace {
+
+/// Claims that come within this time share a write.
+constexpr milliseconds BatchDelay{5};
+constexpr std::size_t MaxClaimsPerWrite = 200;
+
+Result<IdempotencyKeyClaim> parseClaim(const nlohmann::json &Value) {
+  try {
+    return IdempotencyKeyClaim{Value.at("daemon").get<std::string>(),
+                               Value.at("incarnation").get<std::string>()};
+  } catch (const nlohmann::json::exception &Fault) {
+    return failure(ErrorCode::MalformedInput, Fault.what());
+  }
+}
+
+} // namespace
+
+IdempotencyKeyStore::IdempotencyKeyStore(Table &KeyTable, Loop &ControlLoop,
+                                         const Identity &Self)
+    : Table_(KeyTable), ControlLoop_(ControlLoop), Self_(Self) {}
+
+void IdempotencyKeyStore::claim(std::string Key, ClaimCallback Done) {
+  Queue_.push_back(PendingClaim{"reqkey/" + std::move(Key), std::move(Done)});
+  if (WriteInProgress_)
+    return;
+  WriteInProgress_ = true;
+  ControlLoop_.after(BatchDelay, [this] { writeBatch(); });
+}
+
+void IdempotencyKeyStore::writeBatch() {
+  Transaction Change;
+  Change.WriteId = randomId();
+  std::vector<PendingClaim> Batch;
+  std::vector<PendingClaim> Remaining;
+  std::set<std::string> Keys;
+  for (PendingClaim &Entry : Queue_) {
+    // Two claims of one key can't share a transaction.
+    if (Batch.size() >= MaxClaimsPerWrite || !Keys.insert(Entry.Key).second) {
+      Remaining.push_back(std::move(Entry));
+      continue;
+    }
+    Change.Checks.push_back(VersionCheck{Entry.Key, 0});
+    Change.Writes.push_back(
+        RowWrite{Entry.Key,
+                 {{"daemon", Self_.Name}, {"incarnation", Self_.Incarnation}}});
+    Batch.push_back(std::move(Entry));
+  }
+  Queue_ = std::move(Remaining);
+  auto SharedBatch =
+      std::make_shared<std::vector<PendingClaim>>(std::move(Batch));
+  Table_.commit(std::move(Change),
+                [this, SharedBatch](Result<CommitOutcome> Outcome) {
+                  handleCommitResult(std::move(*SharedBatch), Outcome);
+                  WriteInProgress_ = !Queue_.empty();
+                  if (WriteInProgress_)
+                    writeBatch();
+                });
+}
+
+void IdempotencyKeyStore::handleCommitResult(
+    std::vector<PendingClaim> Batch, const Result<CommitOutcome> &Outcome) {
+  if (!Outcome) {
+    for (PendingClaim &Entry : Batch)
+      Entry.Done(tl::unexpected(Outcome.error()), false);
+    return;
+  }
+  for (PendingClaim &Entry : Batch) {
+    if (Outcome->committed()) {
+      Entry.Done(IdempotencyKeyClaim{Self_.Name, Self_.Incarnation}, true);
+      continue;
+    }
+    const auto &Taken = Outcome->Conflicts;
+    if (std::find(Taken.begin(), Taken.end(), Entry.Key) != Taken.end())
+      readExistingClaim(std::move(Entry));
+    else
+      Queue_.push_back(std::move(Entry));
+  }
+}
+
+void IdempotencyKeyStore::readExistingClaim(PendingClaim Taken) {
+  const std::string Key = Taken.Key;
+  Table_.read(Key, [Done = std::move(Taken.Done)](Result<TableRow> Row) {
+    if (Row)
+      Done(parseClaim(Row->Value), false);
+    else
+      Done(tl::unexpected(Row.error()), false);
+  });
+}
+
+} // namespace cuminroad
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -35,9 +35,10 @@
       .Set(Value);
 }
 
-std::string Metrics::render(const DaemonParts &Parts, const FrontDoor &Door,
+std::string Metrics::render(const DaemonParts &Parts,
+                            const RequestFrontend &Frontend,
                             const PeerTraffic &Peers) {
-  const FrontDoorCounts Counts = Door.counts();
+  const RequestOutcomeCounts Counts = Frontend.outcomeCounts();
   const TableUse Use = Parts.PlainTable.use();
   const HttpTraffic Traffic = Parts.ControlClient->traffic();
   const auto Number = [](auto Value) { return static_cast<double>(Value); };
@@ -51,7 +52,7 @@
   setGauge("cuminroad_request_retries_total", "Requests sent again.",
            Number(Counts.Retries));
   setGauge("cuminroad_requests_waiting", "Requests that wait for a slot.",
-           Number(Door.waiting()));
+           Number(Frontend.waitingRequests()));
   setGauge("cuminroad_owner", "1 while this daemon owns its failure domain.",
            Parts.Domain ? 1.0 : 0.0);
   setGauge("cuminroad_owner_epoch", "The newest epoch known.",
--- a/packages/daemon/src/Metrics.h
+++ b/packages/daemon/src/Metrics.h
@@ -23,7 +23,7 @@
   /// Notes how long a request waited for its slot.
   void observeStartWait(double Milliseconds);
   /// \returns the text exposition of all metrics. Call on the control thread.
-  std::string render(const DaemonParts &Parts, const FrontDoor &Door,
+  std::string render(const DaemonParts &Parts, const RequestFrontend &Frontend,
                      const PeerTraffic &Peers);
 
 private:
