--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -53,7 +53,7 @@
 /// Schedules one failure domain for one term of ownership: holds its VMs,
 /// decides by the scheduler, keeps the jobs' rows, and grants slots to the
 /// domain's front doors. Runs on the control thread.
-class DomainOwner final : public VmEvents,
+class DomainOwner final : public VmSessionListener,
                           public ShareUse,
                           public std::enable_shared_from_this<DomainOwner> {
 public:
@@ -89,19 +89,19 @@
   /// Called with the names of daemons whose VM is gone.
   std::function<void(const std::vector<std::string> &)> OnGoneEntries;
 
-  void claimed(const std::string &Vm,
-               const std::vector<InventoryTask> &Running) override;
-  void ended(const std::string &Vm,
-             const std::vector<EndedTask> &Tasks) override;
-  void used(const std::string &Vm, const TaskAttempt &Task,
-            const Capacity &Used) override;
-  void started(const std::string &Vm, const TaskAttempt &Task) override;
-  void refused(const std::string &Vm, const TaskAttempt &Task,
-               const std::string &Why) override;
-  void leaving(const std::string &Vm) override;
-  void lapsed(const std::string &Vm) override;
-  void superseded(const std::string &Vm, std::int64_t Epoch,
-                  const std::string &Holder) override;
+  void onVmClaimed(const std::string &Vm,
+                   const std::vector<InventoryTask> &Running) override;
+  void onTasksEnded(const std::string &Vm,
+                    const std::vector<EndedTask> &Tasks) override;
+  void onUsageReported(const std::string &Vm, const TaskAttempt &Task,
+                       const Capacity &Used) override;
+  void onTaskStarted(const std::string &Vm, const TaskAttempt &Task) override;
+  void onStartRefused(const std::string &Vm, const TaskAttempt &Task,
+                      const std::string &Reason) override;
+  void onVmLeaving(const std::string &Vm) override;
+  void onLeasesLapsed(const std::string &Vm) override;
+  void onClaimSuperseded(const std::string &Vm, std::int64_t Epoch,
+                         const std::string &Holder) override;
 
   ShareAmount demand(const std::string &Customer) const override;
   ShareAmount bound(const std::string &Customer) const override;
@@ -139,7 +139,7 @@
   };
   void settleEarly();
   void countUnheard(const std::string &Vm,
-                    const std::vector<RequestInFlight> &Requests,
+                    const std::vector<InFlightRequest> &Requests,
                     UnheardRequests &Into) const;
   KnownVm *find(const std::string &Vm);
 
--- a/packages/daemon/include/cuminroad/daemon/VmSession.h
+++ b/packages/daemon/include/cuminroad/daemon/VmSession.h
@@ -27,40 +27,41 @@
 };
 
 /// What a VM tells its owner. Called on the control thread.
-class VmEvents {
+class VmSessionListener {
 public:
-  virtual ~VmEvents() = default;
+  virtual ~VmSessionListener() = default;
   /// The VM is held; \p Running is all that runs there.
-  virtual void claimed(const std::string &Vm,
-                       const std::vector<InventoryTask> &Running) = 0;
+  virtual void onVmClaimed(const std::string &Vm,
+                           const std::vector<InventoryTask> &Running) = 0;
   /// Each end is told again until it is acknowledged.
-  virtual void ended(const std::string &Vm,
-                     const std::vector<EndedTask> &Tasks) = 0;
-  virtual void used(const std::string &Vm, const TaskAttempt &Task,
-                    const Capacity &Used) = 0;
-  virtual void started(const std::string &Vm, const TaskAttempt &Task) = 0;
-  virtual void refused(const std::string &Vm, const TaskAttempt &Task,
-                       const std::string &Why) = 0;
-  virtual void leaving(const std::string &Vm) = 0;
+  virtual void onTasksEnded(const std::string &Vm,
+                            const std::vector<EndedTask> &Tasks) = 0;
+  virtual void onUsageReported(const std::string &Vm, const TaskAttempt &Task,
+                               const Capacity &Used) = 0;
+  virtual void onTaskStarted(const std::string &Vm,
+                             const TaskAttempt &Task) = 0;
+  virtual void onStartRefused(const std::string &Vm, const TaskAttempt &Task,
+                              const std::string &Reason) = 0;
+  virtual void onVmLeaving(const std::string &Vm) = 0;
   /// The leases of all tasks on the VM have certainly lapsed.
-  virtual void lapsed(const std::string &Vm) = 0;
+  virtual void onLeasesLapsed(const std::string &Vm) = 0;
   /// Another daemon holds the VM under a newer epoch.
-  virtual void superseded(const std::string &Vm, std::int64_t Epoch,
-                          const std::string &Holder) = 0;
+  virtual void onClaimSuperseded(const std::string &Vm, std::int64_t Epoch,
+                                 const std::string &Holder) = 0;
 };
 
 /// A service request that a VM is working on.
-struct RequestInFlight {
+struct InFlightRequest {
   /// "DAEMON-INCARNATION-...", see RequestFrontend.
   std::string Id;
   std::string Customer;
 };
 
 /// Claims of one epoch that can be told apart.
-inline constexpr int FenceClaimBits = 20;
+inline constexpr int ClaimCounterBits = 20;
 /// \returns the epoch that a VM's fence was made from.
-constexpr std::int64_t epochOfFence(std::int64_t Fence) {
-  return Fence >> FenceClaimBits;
+constexpr std::int64_t epochOfFencingToken(std::int64_t FencingToken) {
+  return FencingToken >> ClaimCounterBits;
 }
 
 /// Who claims, and where.
@@ -81,8 +82,8 @@
 class VmSession : public std::enable_shared_from_this<VmSession> {
 public:
   /// All references must outlive the session.
-  VmSession(VmClaim Claim, const Settings &Config, const Clock &Time,
-            HttpClient &Client, Loop &Home, VmEvents &Events);
+  VmSession(VmClaim Claim, const Settings &Config, const Clock &MonotonicClock,
+            HttpClient &Client, Loop &ControlLoop, VmSessionListener &Listener);
 
   void start();
   /// Ends the session; no event comes after this.
@@ -91,53 +92,53 @@
   void stopTask(const StopTask &Command);
   void throttleTask(const ThrottleTask &Command);
   /// The end of \p Task is in the table; the VM may forget it.
-  void acknowledge(const TaskAttempt &Task);
+  void acknowledgeEnd(const TaskAttempt &Task);
   /// Asks for the requests in flight; nothing where the VM does not answer.
-  void askRequests(
-      std::function<void(std::optional<std::vector<RequestInFlight>>)> Done);
+  void fetchInFlightRequests(
+      std::function<void(std::optional<std::vector<InFlightRequest>>)> Done);
   bool held() const { return Held_; }
   const std::string &vm() const { return Claim_.Vm; }
 
 private:
-  void claim();
-  void claimAnswered(const HttpResult &Answer);
-  void renew();
-  void renewAnswered(std::int64_t Fence, const HttpResult &Answer);
-  void renewalFailed();
-  void waitForLapse();
-  void flush();
+  void sendClaim();
+  void handleClaimReply(const HttpResult &Reply);
+  void sendRenewal();
+  void handleRenewalReply(std::int64_t FencingToken, const HttpResult &Reply);
+  void handleLeaseCallFailure();
+  void awaitLeaseLapse();
+  void scheduleCommandBatch();
   void sendStarts();
-  void startsAnswered(std::int64_t Fence, std::vector<StartTask> Sent,
-                      const HttpResult &Answer);
+  void handleStartsReply(std::int64_t FencingToken, std::vector<StartTask> Sent,
+                         const HttpResult &Reply);
   void sendStops();
-  void checkRefusal(const HttpResult &Answer);
-  void tellEnds(const nlohmann::json &Ends);
-  void call(const std::string &Path, const nlohmann::json &Body,
-            milliseconds Timeout, std::function<void(HttpResult)> Done);
-  nlohmann::json fenced() const;
+  void handleStaleFencingToken(const HttpResult &Reply);
+  void reportEndedTasks(const nlohmann::json &EndedItems);
+  void postToVm(const std::string &Path, const nlohmann::json &Body,
+                milliseconds Timeout, std::function<void(HttpResult)> Done);
+  nlohmann::json bodyWithFencingToken() const;
 
   VmClaim Claim_;
   const Settings &Config_;
-  const Clock &Time_;
+  const Clock &MonotonicClock_;
   HttpClient &Client_;
-  Loop &Home_;
-  VmEvents &Events_;
+  Loop &ControlLoop_;
+  VmSessionListener &Listener_;
   std::minstd_rand Random_;
-  std::int64_t Fence_ = 0;
+  std::int64_t FencingToken_ = 0;
   int ClaimCount_ = 0;
   bool Held_ = false;
   bool Closed_ = false;
-  bool MayHoldTasks_ = true;
-  bool LeavingTold_ = false;
-  bool FlushPlanned_ = false;
-  int Failures_ = 0;
+  bool MayRunTasks_ = true;
+  bool LeavingReported_ = false;
+  bool CommandBatchScheduled_ = false;
+  int ConsecutiveFailures_ = 0;
   /// When the last call that may have renewed the VM's lease was sent.
-  TimePoint LastRenewal_{};
-  TimePoint LastAnswer_{};
-  std::vector<StartTask> Starts_;
-  std::vector<StopTask> Stops_;
-  std::set<TaskAttempt> Stopping_;
-  std::vector<TaskAttempt> Acks_;
+  TimePoint LastRenewalSentAt_{};
+  TimePoint LastReplyAt_{};
+  std::vector<StartTask> PendingStarts_;
+  std::vector<StopTask> PendingStops_;
+  std::set<TaskAttempt> UnconfirmedStops_;
+  std::vector<TaskAttempt> PendingAcks_;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -92,9 +92,9 @@
   for (const auto &[Id, Vm] : Vms_) {
     if (Vm.Listed.State == ListedState::Gone)
       continue;
-    Vm.Session->askRequests(
+    Vm.Session->fetchInFlightRequests(
         [Self = shared_from_this(), Round,
-         Id = Id](const std::optional<std::vector<RequestInFlight>> &Requests) {
+         Id = Id](const std::optional<std::vector<InFlightRequest>> &Requests) {
           if (Requests)
             Self->countUnheard(Id, *Requests, *Round);
           // A VM that is silent keeps the full settling time.
@@ -106,10 +106,10 @@
 }
 
 void DomainOwner::countUnheard(const std::string &Vm,
-                               const std::vector<RequestInFlight> &Requests,
+                               const std::vector<InFlightRequest> &Requests,
                                UnheardRequests &Into) const {
   const std::vector<std::string> Heard = Grants_.holders();
-  for (const RequestInFlight &Each : Requests) {
+  for (const InFlightRequest &Each : Requests) {
     const bool Known =
         std::any_of(Heard.begin(), Heard.end(), [&](const std::string &Holder) {
           return Each.Id.starts_with(requestIdPrefix(Holder));
@@ -168,7 +168,7 @@
     if (Before == Listed.State)
       continue;
     if (Listed.State == ListedState::Leaving)
-      leaving(Listed.Spec.Id);
+      onVmLeaving(Listed.Spec.Id);
     if (Listed.State == ListedState::Gone) {
       Context_.Events.record(EventId::VmGone, Listed.Spec.Id);
       Known->Session->close();
@@ -199,7 +199,7 @@
       Context_.Config, Context_.Time, Context_.Client, Context_.Home, *this);
   Vm.Session->start();
   if (Listed.State == ListedState::Leaving)
-    leaving(Id);
+    onVmLeaving(Id);
 }
 
 void DomainOwner::loadedJobs(const std::vector<JobRow> &Rows) {
@@ -376,11 +376,11 @@
       });
 }
 
-void DomainOwner::drain(const std::string &Vm) { leaving(Vm); }
+void DomainOwner::drain(const std::string &Vm) { onVmLeaving(Vm); }
 
 GrantReply DomainOwner::answerGrants(const GrantRequest &Request) {
   for (const std::string &Vm : Request.Leaving)
-    leaving(Vm);
+    onVmLeaving(Vm);
   GrantDecision Decision = Grants_.answer(Request);
   if (OnNudge && !Decision.Nudge.empty())
     OnNudge(Decision.Nudge);
--- a/packages/daemon/src/DomainOwnerVmEvents.cpp
+++ b/packages/daemon/src/DomainOwnerVmEvents.cpp
@@ -15,8 +15,8 @@
   Grants_.setVm(Id, Vm.Listed.Spec.Service, Usable ? Vm.Listed.Spec.Slots : 0);
 }
 
-void DomainOwner::claimed(const std::string &Id,
-                          const std::vector<InventoryTask> &Running) {
+void DomainOwner::onVmClaimed(const std::string &Id,
+                              const std::vector<InventoryTask> &Running) {
   Context_.Events.record(EventId::VmClaimed, Id,
                          fmt::format("{} tasks", Running.size()));
   KnownVm &Vm = Vms_.at(Id);
@@ -29,8 +29,8 @@
   run();
 }
 
-void DomainOwner::ended(const std::string &Id,
-                        const std::vector<EndedTask> &Tasks) {
+void DomainOwner::onTasksEnded(const std::string &Id,
+                               const std::vector<EndedTask> &Tasks) {
   KnownVm &Vm = Vms_.at(Id);
   if (!Loaded_) {
     // Each end is told again until it is acknowledged; the last list is all.
@@ -45,7 +45,7 @@
 void DomainOwner::applyEnd(const std::string &Id, const EndedTask &End) {
   const auto Acknowledge = [this, Id, Task = End.Task] {
     if (KnownVm *Vm = find(Id))
-      Vm->Session->acknowledge(Task);
+      Vm->Session->acknowledgeEnd(Task);
   };
   // Only an end that is in the table may be forgotten by the VM.
   if (End.Stopped || Jobs_->hasEnd(End.Task.Task))
@@ -55,28 +55,29 @@
   Scheduler_->taskEnded(End.Task, End.Failed, End.Stopped);
 }
 
-void DomainOwner::used(const std::string &, const TaskAttempt &Task,
-                       const Capacity &Used) {
+void DomainOwner::onUsageReported(const std::string &, const TaskAttempt &Task,
+                                  const Capacity &Used) {
   Scheduler_->usageReported(Task, Used);
   run();
 }
 
-void DomainOwner::started(const std::string &Vm, const TaskAttempt &Task) {
+void DomainOwner::onTaskStarted(const std::string &Vm,
+                                const TaskAttempt &Task) {
   Context_.Events.record(EventId::TaskStarted, taskText(Task), Vm);
   Scheduler_->taskStarted(Task);
 }
 
-void DomainOwner::refused(const std::string &Vm, const TaskAttempt &Task,
-                          const std::string &Why) {
+void DomainOwner::onStartRefused(const std::string &Vm, const TaskAttempt &Task,
+                                 const std::string &Reason) {
   Context_.Events.record(EventId::TaskStartFailed, taskText(Task),
-                         Vm + ": " + Why);
-  if (Why == "leaving")
-    leaving(Vm);
+                         Vm + ": " + Reason);
+  if (Reason == "leaving")
+    onVmLeaving(Vm);
   Scheduler_->startRefused(Task);
   run();
 }
 
-void DomainOwner::leaving(const std::string &Id) {
+void DomainOwner::onVmLeaving(const std::string &Id) {
   KnownVm *Vm = find(Id);
   if (!Vm || std::exchange(Vm->Leaving, true))
     return;
@@ -89,7 +90,7 @@
   run();
 }
 
-void DomainOwner::lapsed(const std::string &Vm) {
+void DomainOwner::onLeasesLapsed(const std::string &Vm) {
   Context_.Events.record(EventId::VmLeaseLapsed, Vm);
   Vms_.at(Vm).Inventory.reset();
   updateSlots(Vm);
@@ -98,8 +99,8 @@
   run();
 }
 
-void DomainOwner::superseded(const std::string &Vm, std::int64_t Epoch,
-                             const std::string &Holder) {
+void DomainOwner::onClaimSuperseded(const std::string &Vm, std::int64_t Epoch,
+                                    const std::string &Holder) {
   Context_.Events.record(EventId::VmClaimRefused, Vm,
                          fmt::format("epoch {} of {}", Epoch, Holder));
   if (OnStale)
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -65,8 +65,9 @@
     if (Body) {
       const milliseconds Age(Body->value("renewed_ms_ago", std::int64_t(0)));
       ++(Age > patience() ? Round->Stale : Round->Fresh);
-      Round->Epoch = std::max(
-          Round->Epoch, epochOfFence(Body->value("fence", std::int64_t(0))));
+      Round->Epoch =
+          std::max(Round->Epoch,
+                   epochOfFencingToken(Body->value("fence", std::int64_t(0))));
     }
   }
   if (--Round->Open == 0)
