--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -27,14 +27,14 @@
 struct OwnerContext {
   const Settings &Config;
   const Identity &Self;
-  const Clock &Time;
+  const Clock &MonotonicClock;
   EventLog &Events;
-  Loop &Home;
+  Loop &ControlLoop;
   HttpClient &Client;
   /// Resolves lost replies without giving up.
-  Table &Rows;
-  VmList &List;
-  const ConfigKeeper &Contracts;
+  Table &PlatformTable;
+  VmList &VmListSource;
+  const ConfigKeeper &SharedConfig;
   /// The VMs as last listed; used where the platform can't be reached.
   VmListing LastListing;
 };
@@ -47,7 +47,7 @@
   /// takes no new jobs.
   std::int64_t EpochVersion = 0;
   /// Whether an earlier owner may have left tasks and grants.
-  bool Inherited = false;
+  bool HasPredecessor = false;
 };
 
 /// Schedules one failure domain for one term of ownership: holds its VMs,
@@ -57,7 +57,7 @@
                           public ShareUse,
                           public std::enable_shared_from_this<DomainOwner> {
 public:
-  using Submitted = std::function<void(Result<std::string>)>;
+  using SubmitCallback = std::function<void(Result<std::string>)>;
 
   DomainOwner(const OwnerContext &Context, OwnerTerm Term);
 
@@ -67,27 +67,27 @@
   /// Takes in changed contracts and members.
   void configChanged();
 
-  void submit(JobSpec Spec, Submitted Done);
+  void submit(JobSpec Spec, SubmitCallback Done);
   /// Cancels an unfinished job; \p Done comes when that is in the table.
   void cancel(const std::string &Job, std::function<void(Result<void>)> Done);
   /// Gives a VM no new work.
   void drain(const std::string &Vm);
-  GrantReply answerGrants(const GrantRequest &Request);
+  GrantReply handleGrantRequest(const GrantRequest &Request);
 
   std::optional<JobView> job(const std::string &Id) const;
   std::vector<JobView> jobs() const;
   std::vector<VmView> vms() const;
   /// Whether the jobs of earlier owners are known.
-  bool loaded() const { return Loaded_; }
+  bool jobsLoaded() const { return JobsLoaded_; }
   const OwnerTerm &term() const { return Term_; }
   /// Called when another daemon holds this term's epoch or a newer one.
-  std::function<void(std::int64_t Epoch)> OnStale;
+  std::function<void(std::int64_t Epoch)> OnSuperseded;
   /// Called when the grants of all front doors should be renewed at once.
   std::function<void()> OnGrantsChanged;
   /// Called with the daemons whose grants should be renewed at once.
-  std::function<void(const std::vector<std::string> &)> OnNudge;
+  std::function<void(const std::vector<std::string> &)> OnGrantRenewalWanted;
   /// Called with the names of daemons whose VM is gone.
-  std::function<void(const std::vector<std::string> &)> OnGoneEntries;
+  std::function<void(const std::vector<std::string> &)> OnEntryVmsGone;
 
   void onVmClaimed(const std::string &Vm,
                    const std::vector<InventoryTask> &Running) override;
@@ -109,39 +109,39 @@
 
 private:
   struct KnownVm {
-    ListedVm Listed;
+    ListedVm ListEntry;
     std::shared_ptr<VmSession> Session;
     bool Leaving = false;
     /// Claimed before the jobs were loaded.
     std::optional<std::vector<InventoryTask>> Inventory;
-    std::vector<EndedTask> Ends;
+    std::vector<EndedTask> EndedTasks;
   };
 
-  void readList();
-  void applyList(const VmListing &Listing);
+  void pollVmList();
+  void applyVmList(const VmListing &Listing);
   void addVm(const ListedVm &Listed);
-  void loadedJobs(const std::vector<JobRow> &Rows);
-  void tick();
-  void run();
-  void execute(const StartTask &Do);
-  void execute(const StopTask &Do);
-  void execute(const ThrottleTask &Do);
-  void execute(const EndJob &Do);
-  void applyEnd(const std::string &Vm, const EndedTask &Task);
-  void updateSlots(const std::string &Vm);
-  void applyLimits();
+  void recoverJobs(const std::vector<JobRow> &Rows);
+  void runSchedulerPeriodically();
+  void runScheduler();
+  void execute(const StartTask &Command);
+  void execute(const StopTask &Command);
+  void execute(const ThrottleTask &Command);
+  void execute(const EndJob &Command);
+  void applyTaskEnd(const std::string &Vm, const EndedTask &Task);
+  void updateVmSlots(const std::string &Vm);
+  void applyCustomerLimits();
   /// What the VMs said of requests whose daemons are not heard of.
-  struct UnheardRequests {
-    std::size_t Open = 0;
-    bool Complete = true;
-    Counts OnVms;
-    Counts OfCustomers;
+  struct UntrackedRequests {
+    std::size_t PendingReplies = 0;
+    bool AllVmsReplied = true;
+    Counts CountByVm;
+    Counts CountByCustomer;
   };
-  void settleEarly();
-  void countUnheard(const std::string &Vm,
-                    const std::vector<InFlightRequest> &Requests,
-                    UnheardRequests &Into) const;
-  KnownVm *find(const std::string &Vm);
+  void settleGrantsEarly();
+  void countUntrackedRequests(const std::string &Vm,
+                              const std::vector<InFlightRequest> &Requests,
+                              UntrackedRequests &Totals) const;
+  KnownVm *findVm(const std::string &Vm);
 
   OwnerContext Context_;
   OwnerTerm Term_;
@@ -150,13 +150,13 @@
   std::shared_ptr<JobStore> Jobs_;
   std::shared_ptr<ShareKeeper> Shares_;
   std::map<std::string, KnownVm> Vms_;
-  std::int64_t VmTable_ = 0;
-  bool ListRead_ = false;
-  bool Loaded_ = false;
+  std::int64_t VmTableVersion_ = 0;
+  bool VmListRead_ = false;
+  bool JobsLoaded_ = false;
   bool Closed_ = false;
   std::map<std::string, ContractTerms> Contracts_;
   /// Starts that wait until they are in the table.
-  std::set<TaskAttempt> Recording_;
+  std::set<TaskAttempt> StartsBeingRecorded_;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/include/cuminroad/daemon/JobStore.h
+++ b/packages/daemon/include/cuminroad/daemon/JobStore.h
@@ -58,7 +58,7 @@
   /// \returns the unfinished job, or null.
   const JobRow *find(const std::string &Job) const;
   /// Called when the table shows that there is another owner.
-  std::function<void()> OnStale;
+  std::function<void()> OnSuperseded;
 
 private:
   struct Kept {
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -144,18 +144,20 @@
                    *Parts_.Control, *Parts_.ControlClient, Parts_.EndlessRows,
                    *Parts_.List, Parts_.Keeper, Parts_.LastListing},
       Term);
-  Parts_.Domain->OnStale = [this](std::int64_t Epoch) {
+  Parts_.Domain->OnSuperseded = [this](std::int64_t Epoch) {
     // Later, since the owner that calls is ended by it.
     Parts_.Control->post([this, Epoch] { Parts_.Owners.supersede(Epoch); });
   };
   Parts_.Domain->OnGrantsChanged = [this] { sendNotices(); };
-  Parts_.Domain->OnNudge = [this](const std::vector<std::string> &Names) {
-    for (const std::string &Name : Names)
-      sendNotice(Name);
-  };
-  Parts_.Domain->OnGoneEntries = [this](const std::vector<std::string> &Names) {
-    Parts_.Keeper.removeMembers(Names);
-  };
+  Parts_.Domain->OnGrantRenewalWanted =
+      [this](const std::vector<std::string> &Names) {
+        for (const std::string &Name : Names)
+          sendNotice(Name);
+      };
+  Parts_.Domain->OnEntryVmsGone =
+      [this](const std::vector<std::string> &Names) {
+        Parts_.Keeper.removeMembers(Names);
+      };
   Parts_.Domain->start();
   sendNotices();
 }
@@ -214,7 +216,7 @@
   Request.Stamp = Parts_.Events.logicalClock().next();
   Frontend_.fillGrantRequest(Request);
   if (Parts_.Domain)
-    take(Parts_.Domain->answerGrants(Request));
+    take(Parts_.Domain->handleGrantRequest(Request));
   else
     sendTo(Owner.Peer, Request);
 }
@@ -262,7 +264,7 @@
 void EntryDaemon::take(const GrantRequest &Message) {
   if (!Parts_.Domain)
     return;
-  GrantReply Reply = Parts_.Domain->answerGrants(Message);
+  GrantReply Reply = Parts_.Domain->handleGrantRequest(Message);
   if (Reply.Seq == 0)
     return;
   Reply.Stamp = Parts_.Events.logicalClock().next();
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 /// How often what became due is looked at when nothing happens.
-constexpr milliseconds TickInterval{50};
+constexpr milliseconds ScheduleInterval{50};
 /// Spare time for clocks and messages in the settling of grants.
-constexpr milliseconds SettleMargin{3000};
-constexpr milliseconds EarlySettleMargin{500};
+constexpr milliseconds GrantSettleMargin{3000};
+constexpr milliseconds EarlyGrantSettleMargin{500};
 
-std::int64_t wallMillis() {
+std::int64_t unixTimeMillis() {
   return std::chrono::duration_cast<milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
@@ -25,8 +25,8 @@
 
 /// After this nobody starts requests on an earlier owner's grants: the lease
 /// is over, and who is cut off together with that owner has noticed.
-milliseconds earlySettleTime(const Timings &Times) {
-  return Times.GrantLease + 2 * Times.GrantRenewal + EarlySettleMargin;
+milliseconds earlyGrantSettleDelay(const Timings &Times) {
+  return Times.GrantLease + 2 * Times.GrantRenewal + EarlyGrantSettleMargin;
 }
 
 /// Request ids begin with the name and the first digits of the incarnation of
@@ -38,22 +38,24 @@
 }
 
 GrantTimes grantTimes(const Timings &Times) {
-  return GrantTimes{Times.GrantLease,
-                    Times.GrantLease + Times.MaxRequestTime + SettleMargin};
+  return GrantTimes{Times.GrantLease, Times.GrantLease + Times.MaxRequestTime +
+                                          GrantSettleMargin};
 }
 
 } // namespace
 
 DomainOwner::DomainOwner(const OwnerContext &Context, OwnerTerm Term)
     : Context_(Context), Term_(std::move(Term)),
-      Scheduler_(makeScheduler(Context.Time, SchedulerOptions(), Term_.Epoch)),
-      Grants_(Context.Time, grantTimes(Context.Config.Times), Term_.Inherited),
-      Jobs_(std::make_shared<JobStore>(Context.Rows, Context.Home,
-                                       JobStoreScope{Context.Self.Domain,
-                                                     Term_.EpochKey,
-                                                     Term_.EpochVersion})),
+      Scheduler_(makeScheduler(Context.MonotonicClock, SchedulerOptions(),
+                               Term_.Epoch)),
+      Grants_(Context.MonotonicClock, grantTimes(Context.Config.Times),
+              Term_.HasPredecessor),
+      Jobs_(std::make_shared<JobStore>(
+          Context.PlatformTable, Context.ControlLoop,
+          JobStoreScope{Context.Self.Domain, Term_.EpochKey,
+                        Term_.EpochVersion})),
       Shares_(std::make_shared<ShareKeeper>(
-          Context.Rows, Context.Home,
+          Context.PlatformTable, Context.ControlLoop,
           ShareScope{Context.Self.Domain, Context.Config.Domains,
                      Term_.EpochKey, Term_.EpochVersion,
                      Term_.EpochVersion != 0},
@@ -61,63 +63,66 @@
 
 void DomainOwner::start() {
   configChanged();
-  Jobs_->OnStale = [this] {
-    if (!Closed_ && OnStale)
-      OnStale(Term_.Epoch);
+  Jobs_->OnSuperseded = [this] {
+    if (!Closed_ && OnSuperseded)
+      OnSuperseded(Term_.Epoch);
   };
   Shares_->OnChanged = [this] {
     if (Closed_)
       return;
-    applyLimits();
-    run();
+    applyCustomerLimits();
+    runScheduler();
   };
   Shares_->start();
   // The VMs must be known first: what an earlier owner started may run on any
   // of them. Without the table the jobs stay unknown, and what runs goes on.
   if (Term_.EpochVersion == 0)
-    applyList(Context_.LastListing);
-  readList();
-  tick();
-  if (Term_.Inherited)
-    Context_.Home.after(earlySettleTime(Context_.Config.Times),
-                        [Self = shared_from_this()] { Self->settleEarly(); });
+    applyVmList(Context_.LastListing);
+  pollVmList();
+  runSchedulerPeriodically();
+  if (Term_.HasPredecessor)
+    Context_.ControlLoop.after(
+        earlyGrantSettleDelay(Context_.Config.Times),
+        [Self = shared_from_this()] { Self->settleGrantsEarly(); });
 }
 
-void DomainOwner::settleEarly() {
+void DomainOwner::settleGrantsEarly() {
   if (Closed_ || Grants_.settled())
     return;
-  const auto Round = std::make_shared<UnheardRequests>();
+  const auto Totals = std::make_shared<UntrackedRequests>();
   for (const auto &[Id, Vm] : Vms_)
-    Round->Open += Vm.Listed.State != ListedState::Gone;
+    Totals->PendingReplies += Vm.ListEntry.State != ListedState::Gone;
   for (const auto &[Id, Vm] : Vms_) {
-    if (Vm.Listed.State == ListedState::Gone)
+    if (Vm.ListEntry.State == ListedState::Gone)
       continue;
     Vm.Session->fetchInFlightRequests(
-        [Self = shared_from_this(), Round,
+        [Self = shared_from_this(), Totals,
          Id = Id](const std::optional<std::vector<InFlightRequest>> &Requests) {
           if (Requests)
-            Self->countUnheard(Id, *Requests, *Round);
+            Self->countUntrackedRequests(Id, *Requests, *Totals);
           // A VM that is silent keeps the full settling time.
-          Round->Complete = Round->Complete && Requests;
-          if (--Round->Open == 0 && Round->Complete && !Self->Closed_)
-            Self->Grants_.settle(Round->OnVms, Round->OfCustomers);
+          Totals->AllVmsReplied = Totals->AllVmsReplied && Requests;
+          if (--Totals->PendingReplies == 0 && Totals->AllVmsReplied &&
+              !Self->Closed_)
+            Self->Grants_.settle(Totals->CountByVm, Totals->CountByCustomer);
         });
   }
 }
 
-void DomainOwner::countUnheard(const std::string &Vm,
-                               const std::vector<InFlightRequest> &Requests,
-                               UnheardRequests &Into) const {
-  const std::vector<std::string> Heard = Grants_.holders();
+void DomainOwner::countUntrackedRequests(
+    const std::string &Vm, const std::vector<InFlightRequest> &Requests,
+    UntrackedRequests &Totals) const {
+  const std::vector<std::string> TrackedHolders = Grants_.holders();
   for (const InFlightRequest &Each : Requests) {
     const bool Known =
-        std::any_of(Heard.begin(), Heard.end(), [&](const std::string &Holder) {
-          return Each.Id.starts_with(requestIdPrefix(Holder));
-        });
+        std::any_of(TrackedHolders.begin(), TrackedHolders.end(),
+                    [&](const std::string &Holder) {
+                      return Each.Id.starts_with(requestIdPrefix(Holder));
+                    });
     if (Known)
       continue;
-    ++Into.OnVms[Vm];
-    ++Into.OfCustomers[Each.Customer];
+    ++Totals.CountByVm[Vm];
+    ++Totals.CountByCustomer[Each.Customer];
   }
 }
 
@@ -130,32 +135,32 @@
       Vm.Session->close();
 }
 
-void DomainOwner::readList() {
-  Context_.List.read(
+void DomainOwner::pollVmList() {
+  Context_.VmListSource.read(
       Context_.Self.Domain,
       [Self = shared_from_this()](const Result<VmListing> &Listing) {
         if (Self->Closed_)
           return;
         const bool First = !std::exchange(
-            Self->ListRead_, Listing.has_value() || Self->ListRead_);
+            Self->VmListRead_, Listing.has_value() || Self->VmListRead_);
         if (Listing)
-          Self->applyList(*Listing);
+          Self->applyVmList(*Listing);
         if (Listing && First && Self->Term_.EpochVersion != 0)
           Self->Jobs_->load([Self](const std::vector<JobRow> &Rows) {
-            Self->loadedJobs(Rows);
+            Self->recoverJobs(Rows);
           });
-        Self->Context_.Home.after(Self->Context_.Config.Times.VmListPoll,
-                                  [Self] {
-                                    if (!Self->Closed_)
-                                      Self->readList();
-                                  });
+        Self->Context_.ControlLoop.after(Self->Context_.Config.Times.VmListPoll,
+                                         [Self] {
+                                           if (!Self->Closed_)
+                                             Self->pollVmList();
+                                         });
       });
 }
 
-void DomainOwner::applyList(const VmListing &Listing) {
-  bool Changed = VmTable_ == 0;
+void DomainOwner::applyVmList(const VmListing &Listing) {
+  bool Changed = VmTableVersion_ == 0;
   for (const ListedVm &Listed : Listing.Vms) {
-    KnownVm *Known = find(Listed.Spec.Id);
+    KnownVm *Known = findVm(Listed.Spec.Id);
     if (!Known) {
       if (Listed.State != ListedState::Gone) {
         addVm(Listed);
@@ -163,9 +168,9 @@
       }
       continue;
     }
-    const ListedState Before = Known->Listed.State;
-    Known->Listed.State = Listed.State;
-    if (Before == Listed.State)
+    const ListedState PreviousState = Known->ListEntry.State;
+    Known->ListEntry.State = Listed.State;
+    if (PreviousState == Listed.State)
       continue;
     if (Listed.State == ListedState::Leaving)
       onVmLeaving(Listed.Spec.Id);
@@ -173,17 +178,17 @@
       Context_.Events.record(EventId::VmGone, Listed.Spec.Id);
       Known->Session->close();
       Scheduler_->vmEmptied(Listed.Spec.Id, true);
-      updateSlots(Listed.Spec.Id);
+      updateVmSlots(Listed.Spec.Id);
     }
   }
   if (Changed)
-    ++VmTable_;
-  if (OnGoneEntries && !Listing.GoneEntries.empty())
-    OnGoneEntries(Listing.GoneEntries);
-  run();
+    ++VmTableVersion_;
+  if (OnEntryVmsGone && !Listing.GoneEntries.empty())
+    OnEntryVmsGone(Listing.GoneEntries);
+  runScheduler();
 }
 
-DomainOwner::KnownVm *DomainOwner::find(const std::string &Vm) {
+DomainOwner::KnownVm *DomainOwner::findVm(const std::string &Vm) {
   const auto Found = Vms_.find(Vm);
   return Found == Vms_.end() ? nullptr : &Found->second;
 }
@@ -191,33 +196,34 @@
 void DomainOwner::addVm(const ListedVm &Listed) {
   const std::string Id = Listed.Spec.Id;
   KnownVm &Vm = Vms_[Id];
-  Vm.Listed = Listed;
+  Vm.ListEntry = Listed;
   Scheduler_->listVm(Listed.Spec);
   Vm.Session = std::make_shared<VmSession>(
       VmClaim{Id, Listed.Spec.Url, Term_.Epoch,
               Context_.Self.Name + "/" + Context_.Self.Incarnation},
-      Context_.Config, Context_.Time, Context_.Client, Context_.Home, *this);
+      Context_.Config, Context_.MonotonicClock, Context_.Client,
+      Context_.ControlLoop, *this);
   Vm.Session->start();
   if (Listed.State == ListedState::Leaving)
     onVmLeaving(Id);
 }
 
-void DomainOwner::loadedJobs(const std::vector<JobRow> &Rows) {
+void DomainOwner::recoverJobs(const std::vector<JobRow> &Rows) {
   for (const JobRow &Row : Rows) {
     RecoveredJob Job;
     Job.Spec = Row.Spec;
-    Job.Age =
-        milliseconds(std::max<std::int64_t>(wallMillis() - Row.AcceptedMs, 0));
+    Job.Age = milliseconds(
+        std::max<std::int64_t>(unixTimeMillis() - Row.AcceptedMs, 0));
     Job.Ended.assign(Row.Ended.begin(), Row.Ended.end());
     Job.Recorded = Row.Recorded;
     Job.Cancelled = Row.Cancelled;
     Scheduler_->recover(Job);
   }
-  Loaded_ = true;
+  JobsLoaded_ = true;
   // Ends come first: once the last VM is claimed, what has not ended starts.
   for (auto &[Id, Vm] : Vms_)
-    for (const EndedTask &End : std::exchange(Vm.Ends, {}))
-      applyEnd(Id, End);
+    for (const EndedTask &End : std::exchange(Vm.EndedTasks, {}))
+      applyTaskEnd(Id, End);
   for (auto &[Id, Vm] : Vms_) {
     if (!Vm.Inventory)
       continue;
@@ -225,35 +231,35 @@
     if (Vm.Leaving)
       Scheduler_->vmLeaving(Id);
   }
-  run();
+  runScheduler();
 }
 
 void DomainOwner::configChanged() {
   std::vector<std::string> Names;
   for (const Identity &Member :
-       Context_.Contracts.members().inDomain(Context_.Self.Domain))
+       Context_.SharedConfig.members().inDomain(Context_.Self.Domain))
     Names.push_back(Member.Name);
   Grants_.setMembers(std::move(Names));
-  std::map<std::string, ContractTerms> Now;
-  for (const auto &[Customer, Kept] : Context_.Contracts.contracts())
+  std::map<std::string, ContractTerms> Effective;
+  for (const auto &[Customer, Kept] : Context_.SharedConfig.contracts())
     if (const auto Terms = Kept.Record.effective())
-      Now.emplace(Customer, *Terms);
+      Effective.emplace(Customer, *Terms);
   for (const auto &[Customer, Terms] : Contracts_)
-    if (!Now.contains(Customer)) {
+    if (!Effective.contains(Customer)) {
       Scheduler_->removeLimit(Customer);
       Grants_.setCustomer(Customer, 0);
     }
-  Contracts_ = std::move(Now);
+  Contracts_ = std::move(Effective);
   Shares_->setContracts(Contracts_);
-  applyLimits();
-  run();
+  applyCustomerLimits();
+  runScheduler();
 }
 
-void DomainOwner::applyLimits() {
+void DomainOwner::applyCustomerLimits() {
   for (const auto &[Customer, Terms] : Contracts_) {
-    const ContractTerms Part = Shares_->share(Customer, Terms);
-    Scheduler_->setLimit(Customer, Part);
-    Grants_.setCustomer(Customer, static_cast<int>(Part.MaxRequests));
+    const ContractTerms ShareTerms = Shares_->share(Customer, Terms);
+    Scheduler_->setLimit(Customer, ShareTerms);
+    Grants_.setCustomer(Customer, static_cast<int>(ShareTerms.MaxRequests));
   }
 }
 
@@ -269,66 +275,69 @@
 }
 
 bool DomainOwner::certain() const {
-  return Loaded_ && Scheduler_->resolved() && Grants_.certain();
+  return JobsLoaded_ && Scheduler_->resolved() && Grants_.certain();
 }
 
-void DomainOwner::tick() {
+void DomainOwner::runSchedulerPeriodically() {
   if (Closed_)
     return;
-  run();
-  Context_.Home.after(TickInterval,
-                      [Self = shared_from_this()] { Self->tick(); });
+  runScheduler();
+  Context_.ControlLoop.after(ScheduleInterval, [Self = shared_from_this()] {
+    Self->runSchedulerPeriodically();
+  });
 }
 
-void DomainOwner::run() {
-  if (Closed_ || !Loaded_)
+void DomainOwner::runScheduler() {
+  if (Closed_ || !JobsLoaded_)
     return;
   Scheduler_->schedule();
   for (const Command &Each : Scheduler_->takeCommands())
-    std::visit([this](const auto &Do) { execute(Do); }, Each);
+    std::visit([this](const auto &Command) { execute(Command); }, Each);
 }
 
-void DomainOwner::execute(const StartTask &Do) {
-  KnownVm *Vm = find(Do.Vm);
+void DomainOwner::execute(const StartTask &Command) {
+  KnownVm *Vm = findVm(Command.Vm);
   if (!Vm)
     return;
-  if (!Do.RecordFirst)
-    return Vm->Session->startTask(Do);
-  Recording_.insert(Do.Task);
-  Jobs_->recordStart(Do.Task.Task, [this, Do] {
+  if (!Command.RecordFirst)
+    return Vm->Session->startTask(Command);
+  StartsBeingRecorded_.insert(Command.Task);
+  Jobs_->recordStart(Command.Task.Task, [this, Command] {
     // It may have been stopped or given up while the write was under way.
-    if (Recording_.erase(Do.Task) > 0)
-      if (KnownVm *Target = find(Do.Vm))
-        Target->Session->startTask(Do);
+    if (StartsBeingRecorded_.erase(Command.Task) > 0)
+      if (KnownVm *Target = findVm(Command.Vm))
+        Target->Session->startTask(Command);
   });
 }
 
-void DomainOwner::execute(const StopTask &Do) {
-  if (Recording_.erase(Do.Task) > 0) {
+void DomainOwner::execute(const StopTask &Command) {
+  if (StartsBeingRecorded_.erase(Command.Task) > 0) {
     // The start was never sent.
-    Scheduler_->startRefused(Do.Task);
+    Scheduler_->startRefused(Command.Task);
     return;
   }
-  if (KnownVm *Vm = find(Do.Vm))
-    Vm->Session->stopTask(Do);
-  if (Do.Checkpoint)
-    Context_.Events.record(EventId::TaskPreempted, taskText(Do.Task), Do.Vm);
+  if (KnownVm *Vm = findVm(Command.Vm))
+    Vm->Session->stopTask(Command);
+  if (Command.Checkpoint)
+    Context_.Events.record(EventId::TaskPreempted, taskText(Command.Task),
+                           Command.Vm);
 }
 
-void DomainOwner::execute(const ThrottleTask &Do) {
-  if (KnownVm *Vm = find(Do.Vm))
-    Vm->Session->throttleTask(Do);
-  Context_.Events.record(EventId::TaskThrottled, taskText(Do.Task), Do.Vm);
+void DomainOwner::execute(const ThrottleTask &Command) {
+  if (KnownVm *Vm = findVm(Command.Vm))
+    Vm->Session->throttleTask(Command);
+  Context_.Events.record(EventId::TaskThrottled, taskText(Command.Task),
+                         Command.Vm);
 }
 
-void DomainOwner::execute(const EndJob &Do) {
-  Jobs_->finish(Do.Job, Do.Outcome);
-  Context_.Events.record(EventId::JobFinished, Do.Job,
-                         jobOutcomeName(Do.Outcome));
+void DomainOwner::execute(const EndJob &Command) {
+  Jobs_->finish(Command.Job, Command.Outcome);
+  Context_.Events.record(EventId::JobFinished, Command.Job,
+                         jobOutcomeName(Command.Outcome));
 }
 
-void DomainOwner::submit(JobSpec Spec, Submitted Done) {
-  if (!Loaded_ || Closed_)
+void DomainOwner::submit(JobSpec Spec, SubmitCallback Done) {
+  if (!JobsLoaded_ || Closed_)
     return Done(failure(ErrorCode::NoOwner, Context_.Self.Domain));
   const auto Contract = Contracts_.find(Spec.Customer);
   if (Contract == Contracts_.end())
@@ -342,11 +351,11 @@
   }
   JobRow Row;
   Row.Name = Spec.Id;
-  const std::string Suffix = Spec.Id.empty() ? randomId() : Spec.Id;
+  const std::string LocalId = Spec.Id.empty() ? randomId() : Spec.Id;
   Spec.Id =
-      fmt::format("{}.{}.{}", Context_.Self.Domain, Spec.Customer, Suffix);
+      fmt::format("{}.{}.{}", Context_.Self.Domain, Spec.Customer, LocalId);
   Row.Spec = Spec;
-  Row.AcceptedMs = wallMillis();
+  Row.AcceptedMs = unixTimeMillis();
   // A submission that is sent again names a job that is already here.
   if (Jobs_->find(Spec.Id))
     return Done(Spec.Id);
@@ -355,7 +364,7 @@
     if (Id && *Id == Spec.Id && !Self->Closed_) {
       Self->Context_.Events.record(EventId::JobAccepted, Spec.Id);
       Self->Scheduler_->submit(Spec);
-      Self->run();
+      Self->runScheduler();
     }
     Done(std::move(Id));
   });
@@ -363,7 +372,7 @@
 
 void DomainOwner::cancel(const std::string &Job,
                          std::function<void(Result<void>)> Done) {
-  if (!Loaded_ || Closed_)
+  if (!JobsLoaded_ || Closed_)
     return Done(failure(ErrorCode::NoOwner, Context_.Self.Domain));
   if (!Jobs_->find(Job))
     return Done(failure(ErrorCode::UnknownJob, Job));
@@ -371,30 +380,30 @@
       Job, [Self = shared_from_this(), Job, Done = std::move(Done)] {
         Self->Context_.Events.record(EventId::JobCancelled, Job);
         Self->Scheduler_->cancel(Job);
-        Self->run();
+        Self->runScheduler();
         Done({});
       });
 }
 
 void DomainOwner::drain(const std::string &Vm) { onVmLeaving(Vm); }
 
-GrantReply DomainOwner::answerGrants(const GrantRequest &Request) {
+GrantReply DomainOwner::handleGrantRequest(const GrantRequest &Request) {
   for (const std::string &Vm : Request.Leaving)
     onVmLeaving(Vm);
   GrantDecision Decision = Grants_.answer(Request);
-  if (OnNudge && !Decision.Nudge.empty())
-    OnNudge(Decision.Nudge);
+  if (OnGrantRenewalWanted && !Decision.Nudge.empty())
+    OnGrantRenewalWanted(Decision.Nudge);
   GrantReply Reply = std::move(Decision.Reply);
   Reply.Owner = Context_.Self.Name;
   Reply.Epoch = Term_.Epoch;
   // The epoch makes tables of two owners differ.
-  Reply.VmTable = (Term_.Epoch << 32) + VmTable_;
+  Reply.VmTable = (Term_.Epoch << 32) + VmTableVersion_;
   if (Request.VmTable != Reply.VmTable) {
     Reply.Vms.emplace();
     for (const auto &[Id, Vm] : Vms_)
-      if (Vm.Listed.State != ListedState::Gone)
+      if (Vm.ListEntry.State != ListedState::Gone)
         Reply.Vms->push_back(
-            GrantVm{Id, Vm.Listed.Spec.Service, Vm.Listed.Spec.Url});
+            GrantVm{Id, Vm.ListEntry.Spec.Service, Vm.ListEntry.Spec.Url});
   }
   return Reply;
 }
--- a/packages/daemon/src/DomainOwnerVmEvents.cpp
+++ b/packages/daemon/src/DomainOwnerVmEvents.cpp
@@ -8,11 +8,12 @@
 
 namespace cuminroad {
 
-void DomainOwner::updateSlots(const std::string &Id) {
+void DomainOwner::updateVmSlots(const std::string &Id) {
   const KnownVm &Vm = Vms_.at(Id);
-  const bool Usable =
-      Vm.Session->held() && !Vm.Leaving && Vm.Listed.State == ListedState::Live;
-  Grants_.setVm(Id, Vm.Listed.Spec.Service, Usable ? Vm.Listed.Spec.Slots : 0);
+  const bool Usable = Vm.Session->held() && !Vm.Leaving &&
+                      Vm.ListEntry.State == ListedState::Live;
+  Grants_.setVm(Id, Vm.ListEntry.Spec.Service,
+                Usable ? Vm.ListEntry.Spec.Slots : 0);
 }
 
 void DomainOwner::onVmClaimed(const std::string &Id,
@@ -20,31 +21,31 @@
   Context_.Events.record(EventId::VmClaimed, Id,
                          fmt::format("{} tasks", Running.size()));
   KnownVm &Vm = Vms_.at(Id);
-  updateSlots(Id);
-  if (!Loaded_) {
+  updateVmSlots(Id);
+  if (!JobsLoaded_) {
     Vm.Inventory = Running;
     return;
   }
   Scheduler_->vmClaimed(Id, Running);
-  run();
+  runScheduler();
 }
 
 void DomainOwner::onTasksEnded(const std::string &Id,
                                const std::vector<EndedTask> &Tasks) {
   KnownVm &Vm = Vms_.at(Id);
-  if (!Loaded_) {
+  if (!JobsLoaded_) {
     // Each end is told again until it is acknowledged; the last list is all.
-    Vm.Ends = Tasks;
+    Vm.EndedTasks = Tasks;
     return;
   }
   for (const EndedTask &Task : Tasks)
-    applyEnd(Id, Task);
-  run();
+    applyTaskEnd(Id, Task);
+  runScheduler();
 }
 
-void DomainOwner::applyEnd(const std::string &Id, const EndedTask &End) {
+void DomainOwner::applyTaskEnd(const std::string &Id, const EndedTask &End) {
   const auto Acknowledge = [this, Id, Task = End.Task] {
-    if (KnownVm *Vm = find(Id))
+    if (KnownVm *Vm = findVm(Id))
       Vm->Session->acknowledgeEnd(Task);
   };
   // Only an end that is in the table may be forgotten by the VM.
@@ -58,7 +59,7 @@
 void DomainOwner::onUsageReported(const std::string &, const TaskAttempt &Task,
                                   const Capacity &Used) {
   Scheduler_->usageReported(Task, Used);
-  run();
+  runScheduler();
 }
 
 void DomainOwner::onTaskStarted(const std::string &Vm,
@@ -74,37 +75,37 @@
   if (Reason == "leaving")
     onVmLeaving(Vm);
   Scheduler_->startRefused(Task);
-  run();
+  runScheduler();
 }
 
 void DomainOwner::onVmLeaving(const std::string &Id) {
-  KnownVm *Vm = find(Id);
+  KnownVm *Vm = findVm(Id);
   if (!Vm || std::exchange(Vm->Leaving, true))
     return;
   Context_.Events.record(EventId::VmLeaving, Id);
-  updateSlots(Id);
-  if (Loaded_)
+  updateVmSlots(Id);
+  if (JobsLoaded_)
     Scheduler_->vmLeaving(Id);
   if (OnGrantsChanged)
     OnGrantsChanged();
-  run();
+  runScheduler();
 }
 
 void DomainOwner::onLeasesLapsed(const std::string &Vm) {
   Context_.Events.record(EventId::VmLeaseLapsed, Vm);
   Vms_.at(Vm).Inventory.reset();
-  updateSlots(Vm);
-  if (Loaded_)
+  updateVmSlots(Vm);
+  if (JobsLoaded_)
     Scheduler_->vmEmptied(Vm, false);
-  run();
+  runScheduler();
 }
 
 void DomainOwner::onClaimSuperseded(const std::string &Vm, std::int64_t Epoch,
                                     const std::string &Holder) {
   Context_.Events.record(EventId::VmClaimRefused, Vm,
                          fmt::format("epoch {} of {}", Epoch, Holder));
-  if (OnStale)
-    OnStale(Epoch);
+  if (OnSuperseded)
+    OnSuperseded(Epoch);
 }
 
 } // namespace cuminroad
--- a/packages/daemon/src/JobStore.cpp
+++ b/packages/daemon/src/JobStore.cpp
@@ -245,8 +245,8 @@
       Each.Done(failure(ErrorCode::NoOwner));
     for (Creation &Each : Taken)
       Each.Done(failure(ErrorCode::NoOwner));
-    if (!Closed_ && OnStale)
-      OnStale();
+    if (!Closed_ && OnSuperseded)
+      OnSuperseded();
     return;
   }
   for (Creation &Each : Taken) {
