--- a/packages/daemon/include/cuminroad/daemon/JobRow.h
+++ b/packages/daemon/include/cuminroad/daemon/JobRow.h
@@ -25,12 +25,12 @@
   /// Tasks that ended, with whether they failed.
   std::map<int, bool> Ended;
   /// Starts of tasks that may not run twice.
-  std::set<int> Recorded;
+  std::set<int> RecordedStarts;
   bool Cancelled = false;
   std::optional<JobOutcome> Outcome;
 };
 
-std::string_view jobOutcomeName(JobOutcome What);
+std::string_view jobOutcomeName(JobOutcome Outcome);
 Result<JobRow> parseJobRow(const nlohmann::json &Input);
 nlohmann::json toJson(const JobRow &Row);
 
--- a/packages/daemon/include/cuminroad/daemon/JobStore.h
+++ b/packages/daemon/include/cuminroad/daemon/JobStore.h
@@ -31,77 +31,77 @@
 /// control thread.
 class JobStore : public std::enable_shared_from_this<JobStore> {
 public:
-  using Committed = std::function<void()>;
+  using CommitCallback = std::function<void()>;
   /// The id of the job: a new one, or the one that has this name already.
-  using Created = std::function<void(Result<std::string>)>;
-  using Loaded = std::function<void(std::vector<JobRow>)>;
+  using CreateCallback = std::function<void(Result<std::string>)>;
+  using LoadCallback = std::function<void(std::vector<JobRow>)>;
 
   /// \param Rows must resolve lost replies without giving up.
-  JobStore(Table &Rows, Loop &Home, JobStoreScope Scope);
+  JobStore(Table &JobTable, Loop &ControlLoop, JobStoreScope Scope);
 
   /// Reads all unfinished jobs of the domain, trying until it succeeds.
-  void load(Loaded Done);
+  void load(LoadCallback Done);
   /// Ends the store: nothing is written or called back any more, but for a
   /// transaction that is under way.
   void close();
-  void create(JobRow Row, Created Done);
+  void create(JobRow Row, CreateCallback Done);
   /// \returns false where the end is known and its write under way; then
   /// \p Done is dropped.
-  bool markEnded(const TaskRef &Task, bool Failed, Committed Done);
+  bool recordEnd(const TaskRef &Task, bool Failed, CommitCallback Done);
   /// Whether nothing is left to write of the task's end: it is in the table, or
   /// no unfinished job has such a task.
-  bool hasEnd(const TaskRef &Task) const;
-  void recordStart(const TaskRef &Task, Committed Done);
-  void markCancelled(const std::string &Job, Committed Done);
+  bool isEndRecorded(const TaskRef &Task) const;
+  void recordStart(const TaskRef &Task, CommitCallback Done);
+  void recordCancellation(const std::string &Job, CommitCallback Done);
   /// Moves the job to the finished ones.
-  void finish(const std::string &Job, JobOutcome What);
+  void moveToFinished(const std::string &Job, JobOutcome FinalOutcome);
   /// \returns the unfinished job, or null.
   const JobRow *find(const std::string &Job) const;
   /// Called when the table shows that there is another owner.
   std::function<void()> OnSuperseded;
 
 private:
-  struct Kept {
+  struct StoredJob {
     JobRow Row;
     bool InTable = false;
     bool Finished = false;
     /// Ends that are not yet in the table.
-    std::set<int> NewEnds;
+    std::set<int> UnwrittenEnds;
   };
-  struct Creation {
+  struct PendingCreation {
     std::string Job;
-    Created Done;
+    CreateCallback Done;
   };
   struct Batch {
     std::set<std::string> Jobs;
-    std::vector<Creation> Creations;
-    std::vector<Committed> Callbacks;
+    std::vector<PendingCreation> Creations;
+    std::vector<CommitCallback> Callbacks;
     std::vector<TaskRef> Ends;
   };
 
   std::string jobKey(const std::string &Job) const;
   std::string markerKey() const;
-  void loadJobs(Loaded Done);
-  void touch(const std::string &Job, Committed Done);
-  void plan();
-  void write();
-  void addWrites(Transaction &Change, const std::string &Job);
-  void settle(Batch Sent, const Result<CommitOutcome> &Outcome);
-  void settleCommitted(Batch Sent, std::int64_t Revision);
-  void settleConflict(Batch Sent, const std::vector<std::string> &Conflicts);
-  void settleUnavailable(Batch Sent);
-  void keepForLater(Batch &Sent);
-  void lookUpName(Creation Lost);
+  void loadJobs(LoadCallback Done);
+  void queueWrite(const std::string &Job, CommitCallback Done);
+  void scheduleWrite();
+  void writeBatch();
+  void addJobWrites(Transaction &Change, const std::string &Job);
+  void handleCommitResult(Batch Sent, const Result<CommitOutcome> &Outcome);
+  void handleCommitted(Batch Sent, std::int64_t Revision);
+  void handleConflict(Batch Sent, const std::vector<std::string> &Conflicts);
+  void handleUnavailable(Batch Sent);
+  void requeue(Batch &Sent);
+  void resolveNameConflict(PendingCreation Creation);
   static std::string nameKey(const JobRow &Row);
 
-  Table &Rows_;
-  Loop &Home_;
+  Table &Table_;
+  Loop &ControlLoop_;
   JobStoreScope Scope_;
   bool Closed_ = false;
-  bool Writing_ = false;
+  bool WriteInProgress_ = false;
   std::int64_t MarkerVersion_ = 0;
-  std::map<std::string, Kept> Jobs_;
-  Batch Next_;
+  std::map<std::string, StoredJob> Jobs_;
+  Batch NextBatch_;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -215,7 +215,7 @@
     Job.Age = milliseconds(
         std::max<std::int64_t>(unixTimeMillis() - Row.AcceptedMs, 0));
     Job.Ended.assign(Row.Ended.begin(), Row.Ended.end());
-    Job.Recorded = Row.Recorded;
+    Job.Recorded = Row.RecordedStarts;
     Job.Cancelled = Row.Cancelled;
     Scheduler_->recover(Job);
   }
@@ -331,7 +331,7 @@
 }
 
 void DomainOwner::execute(const EndJob &Command) {
-  Jobs_->finish(Command.Job, Command.Outcome);
+  Jobs_->moveToFinished(Command.Job, Command.Outcome);
   Context_.Events.record(EventId::JobFinished, Command.Job,
                          jobOutcomeName(Command.Outcome));
 }
@@ -376,7 +376,7 @@
     return Done(failure(ErrorCode::NoOwner, Context_.Self.Domain));
   if (!Jobs_->find(Job))
     return Done(failure(ErrorCode::UnknownJob, Job));
-  Jobs_->markCancelled(
+  Jobs_->recordCancellation(
       Job, [Self = shared_from_this(), Job, Done = std::move(Done)] {
         Self->Context_.Events.record(EventId::JobCancelled, Job);
         Self->Scheduler_->cancel(Job);
--- a/packages/daemon/src/DomainOwnerVmEvents.cpp
+++ b/packages/daemon/src/DomainOwnerVmEvents.cpp
@@ -49,9 +49,9 @@
       Vm->Session->acknowledgeEnd(Task);
   };
   // Only an end that is in the table may be forgotten by the VM.
-  if (End.Stopped || Jobs_->hasEnd(End.Task.Task))
+  if (End.Stopped || Jobs_->isEndRecorded(End.Task.Task))
     Acknowledge();
-  else if (Jobs_->markEnded(End.Task.Task, End.Failed, Acknowledge))
+  else if (Jobs_->recordEnd(End.Task.Task, End.Failed, Acknowledge))
     Context_.Events.record(EventId::TaskEnded, taskText(End.Task), Id);
   Scheduler_->taskEnded(End.Task, End.Failed, End.Stopped);
 }
--- a/packages/daemon/src/JobRow.cpp
+++ b/packages/daemon/src/JobRow.cpp
@@ -15,7 +15,7 @@
 
 /// Packs sorted numbers into [first, last] pairs: arrays of tasks mostly end
 /// in runs.
-template <typename Range> nlohmann::json packRuns(const Range &Numbers) {
+template <typename Range> nlohmann::json packRanges(const Range &Numbers) {
   nlohmann::json Out = nlohmann::json::array();
   for (const int Number : Numbers) {
     if (!Out.empty() && Out.back().at(1) == Number - 1)
@@ -26,19 +26,19 @@
   return Out;
 }
 
-std::set<int> unpackRuns(const nlohmann::json &Input) {
+std::set<int> unpackRanges(const nlohmann::json &Input) {
   std::set<int> Out;
-  for (const nlohmann::json &Run : Input)
-    for (int Number = Run.at(0); Number <= Run.at(1); ++Number)
+  for (const nlohmann::json &Range : Input)
+    for (int Number = Range.at(0); Number <= Range.at(1); ++Number)
       Out.insert(Number);
   return Out;
 }
 
 } // namespace
 
-std::string_view jobOutcomeName(JobOutcome What) {
-  for (const auto &[Outcome, Name] : OutcomeNames)
-    if (Outcome == What)
+std::string_view jobOutcomeName(JobOutcome Outcome) {
+  for (const auto &[Value, Name] : OutcomeNames)
+    if (Value == Outcome)
       return Name;
   return "unknown";
 }
@@ -52,16 +52,16 @@
     Row.Spec = *Spec;
     Row.Name = Input.at("name").get<std::string>();
     Row.AcceptedMs = Input.at("accepted_ms").get<std::int64_t>();
-    for (const int Task : unpackRuns(Input.at("ended")))
-      Row.Ended[Task] = false;
-    for (const int Task : unpackRuns(Input.at("failed")))
-      Row.Ended[Task] = true;
-    Row.Recorded = unpackRuns(Input.at("recorded"));
+    for (const int Index : unpackRanges(Input.at("ended")))
+      Row.Ended[Index] = false;
+    for (const int Index : unpackRanges(Input.at("failed")))
+      Row.Ended[Index] = true;
+    Row.RecordedStarts = unpackRanges(Input.at("recorded"));
     Row.Cancelled = Input.at("cancelled").get<bool>();
     const std::string Outcome = Input.value("outcome", "");
-    for (const auto &[What, Name] : OutcomeNames)
+    for (const auto &[Value, Name] : OutcomeNames)
       if (Outcome == Name)
-        Row.Outcome = What;
+        Row.Outcome = Value;
     return Row;
   } catch (const nlohmann::json::exception &Fault) {
     return failure(ErrorCode::MalformedInput, Fault.what());
@@ -71,13 +71,15 @@
 nlohmann::json toJson(const JobRow &Row) {
   std::set<int> Ended;
   std::set<int> Failed;
-  for (const auto &[Task, HasFailed] : Row.Ended)
-    (HasFailed ? Failed : Ended).insert(Task);
-  nlohmann::json Out{
-      {"spec", toJson(Row.Spec)},      {"name", Row.Name},
-      {"accepted_ms", Row.AcceptedMs}, {"ended", packRuns(Ended)},
-      {"failed", packRuns(Failed)},    {"recorded", packRuns(Row.Recorded)},
-      {"cancelled", Row.Cancelled}};
+  for (const auto &[Index, HasFailed] : Row.Ended)
+    (HasFailed ? Failed : Ended).insert(Index);
+  nlohmann::json Out{{"spec", toJson(Row.Spec)},
+                     {"name", Row.Name},
+                     {"accepted_ms", Row.AcceptedMs},
+                     {"ended", packRanges(Ended)},
+                     {"failed", packRanges(Failed)},
+                     {"recorded", packRanges(Row.RecordedStarts)},
+                     {"cancelled", Row.Cancelled}};
   if (Row.Outcome)
     Out["outcome"] = jobOutcomeName(*Row.Outcome);
   return Out;
--- a/packages/daemon/src/JobStore.cpp
+++ b/packages/daemon/src/JobStore.cpp
@@ -12,14 +12,14 @@
 
 /// Changes that come within this time share a transaction. It bounds a domain
 /// to ten writes a second.
-constexpr milliseconds GatherTime{100};
+constexpr milliseconds BatchDelay{100};
 constexpr milliseconds RetryDelay{1000};
 constexpr std::size_t MaxJobsPerWrite = 200;
 
 } // namespace
 
-JobStore::JobStore(Table &Rows, Loop &Home, JobStoreScope Scope)
-    : Rows_(Rows), Home_(Home), Scope_(std::move(Scope)) {}
+JobStore::JobStore(Table &JobTable, Loop &ControlLoop, JobStoreScope Scope)
+    : Table_(JobTable), ControlLoop_(ControlLoop), Scope_(std::move(Scope)) {}
 
 std::string JobStore::jobKey(const std::string &Job) const {
   return fmt::format("job/{}/{}", Scope_.Domain, Job);
@@ -31,13 +31,13 @@
   return fmt::format("jobname/{}/{}", Row.Spec.Customer, Row.Name);
 }
 
-void JobStore::load(Loaded Done) {
-  Rows_.read(markerKey(), [Self = shared_from_this(),
-                           Done = std::move(Done)](Result<TableRow> Row) {
+void JobStore::load(LoadCallback Done) {
+  Table_.read(markerKey(), [Self = shared_from_this(),
+                            Done = std::move(Done)](Result<TableRow> Row) {
     if (Self->Closed_)
       return;
     if (!Row) {
-      Self->Home_.after(RetryDelay, [Self, Done] { Self->load(Done); });
+      Self->ControlLoop_.after(RetryDelay, [Self, Done] { Self->load(Done); });
       return;
     }
     Self->MarkerVersion_ = Row->Version;
@@ -45,34 +45,34 @@
   });
 }
 
-void JobStore::loadJobs(Loaded Done) {
-  Rows_.scan(fmt::format("job/{}/", Scope_.Domain),
-             [Self = shared_from_this(),
-              Done = std::move(Done)](Result<std::vector<TableRow>> Rows) {
-               if (Self->Closed_)
-                 return;
-               if (!Rows) {
-                 Self->Home_.after(RetryDelay,
-                                   [Self, Done] { Self->load(Done); });
-                 return;
-               }
-               std::vector<JobRow> Out;
-               for (const TableRow &Row : *Rows) {
-                 const auto Job = parseJobRow(Row.Value);
-                 if (!Job)
-                   continue;
-                 Self->Jobs_[Job->Spec.Id] = Kept{*Job, true, false, {}};
-                 Out.push_back(*Job);
-               }
-               Done(std::move(Out));
-             });
+void JobStore::loadJobs(LoadCallback Done) {
+  Table_.scan(fmt::format("job/{}/", Scope_.Domain),
+              [Self = shared_from_this(),
+               Done = std::move(Done)](Result<std::vector<TableRow>> Rows) {
+                if (Self->Closed_)
+                  return;
+                if (!Rows) {
+                  Self->ControlLoop_.after(RetryDelay,
+                                           [Self, Done] { Self->load(Done); });
+                  return;
+                }
+                std::vector<JobRow> Out;
+                for (const TableRow &Row : *Rows) {
+                  const auto Job = parseJobRow(Row.Value);
+                  if (!Job)
+                    continue;
+                  Self->Jobs_[Job->Spec.Id] = StoredJob{*Job, true, false, {}};
+                  Out.push_back(*Job);
+                }
+                Done(std::move(Out));
+              });
 }
 
 void JobStore::close() {
   Closed_ = true;
-  for (Creation &Entry : Next_.Creations)
+  for (PendingCreation &Entry : NextBatch_.Creations)
     Entry.Done(failure(ErrorCode::NoOwner));
-  Next_ = {};
+  NextBatch_ = {};
 }
 
 const JobRow *JobStore::find(const std::string &Job) const {
@@ -80,76 +80,78 @@
   return Found == Jobs_.end() ? nullptr : &Found->second.Row;
 }
 
-void JobStore::create(JobRow Row, Created Done) {
+void JobStore::create(JobRow Row, CreateCallback Done) {
   const std::string Job = Row.Spec.Id;
-  Jobs_[Job] = Kept{std::move(Row), false, false, {}};
-  Next_.Jobs.insert(Job);
-  Next_.Creations.push_back(Creation{Job, std::move(Done)});
-  plan();
+  Jobs_[Job] = StoredJob{std::move(Row), false, false, {}};
+  NextBatch_.Jobs.insert(Job);
+  NextBatch_.Creations.push_back(PendingCreation{Job, std::move(Done)});
+  scheduleWrite();
 }
 
-void JobStore::touch(const std::string &Job, Committed Done) {
-  Next_.Jobs.insert(Job);
+void JobStore::queueWrite(const std::string &Job, CommitCallback Done) {
+  NextBatch_.Jobs.insert(Job);
   if (Done)
-    Next_.Callbacks.push_back(std::move(Done));
-  plan();
+    NextBatch_.Callbacks.push_back(std::move(Done));
+  scheduleWrite();
 }
 
-bool JobStore::markEnded(const TaskRef &Task, bool Failed, Committed Done) {
-  Kept &Job = Jobs_.at(Task.Job);
-  if (!Job.NewEnds.insert(Task.Index).second)
+bool JobStore::recordEnd(const TaskRef &Task, bool Failed,
+                         CommitCallback Done) {
+  StoredJob &Job = Jobs_.at(Task.Job);
+  if (!Job.UnwrittenEnds.insert(Task.Index).second)
     return false;
   Job.Row.Ended[Task.Index] = Failed;
-  Next_.Ends.push_back(Task);
-  touch(Task.Job, std::move(Done));
+  NextBatch_.Ends.push_back(Task);
+  queueWrite(Task.Job, std::move(Done));
   return true;
 }
 
-bool JobStore::hasEnd(const TaskRef &Task) const {
+bool JobStore::isEndRecorded(const TaskRef &Task) const {
   const auto Found = Jobs_.find(Task.Job);
   if (Found == Jobs_.end())
     return true;
-  const Kept &Job = Found->second;
+  const StoredJob &Job = Found->second;
   if (Task.Index < 0 || Task.Index >= Job.Row.Spec.Tasks)
     return true;
   return Job.Row.Ended.contains(Task.Index) &&
-         !Job.NewEnds.contains(Task.Index);
+         !Job.UnwrittenEnds.contains(Task.Index);
 }
 
-void JobStore::recordStart(const TaskRef &Task, Committed Done) {
+void JobStore::recordStart(const TaskRef &Task, CommitCallback Done) {
   const auto Found = Jobs_.find(Task.Job);
   if (Found == Jobs_.end())
     return;
-  Found->second.Row.Recorded.insert(Task.Index);
-  touch(Task.Job, std::move(Done));
+  Found->second.Row.RecordedStarts.insert(Task.Index);
+  queueWrite(Task.Job, std::move(Done));
 }
 
-void JobStore::markCancelled(const std::string &Job, Committed Done) {
+void JobStore::recordCancellation(const std::string &Job, CommitCallback Done) {
   const auto Found = Jobs_.find(Job);
   if (Found == Jobs_.end())
     return;
   Found->second.Row.Cancelled = true;
-  touch(Job, std::move(Done));
+  queueWrite(Job, std::move(Done));
 }
 
-void JobStore::finish(const std::string &Job, JobOutcome What) {
+void JobStore::moveToFinished(const std::string &Job, JobOutcome FinalOutcome) {
   const auto Found = Jobs_.find(Job);
   if (Found == Jobs_.end())
     return;
-  Found->second.Row.Outcome = What;
+  Found->second.Row.Outcome = FinalOutcome;
   Found->second.Finished = true;
-  touch(Job, nullptr);
+  queueWrite(Job, nullptr);
 }
 
-void JobStore::plan() {
-  if (Writing_ || Closed_)
+void JobStore::scheduleWrite() {
+  if (WriteInProgress_ || Closed_)
     return;
-  Writing_ = true;
-  Home_.after(GatherTime, [Self = shared_from_this()] { Self->write(); });
+  WriteInProgress_ = true;
+  ControlLoop_.after(BatchDelay,
+                     [Self = shared_from_this()] { Self->writeBatch(); });
 }
 
-void JobStore::addWrites(Transaction &Change, const std::string &Job) {
-  const Kept &Entry = Jobs_.at(Job);
+void JobStore::addJobWrites(Transaction &Change, const std::string &Job) {
+  const StoredJob &Entry = Jobs_.at(Job);
   const std::string Key = jobKey(Job);
   if (Entry.Finished) {
     Change.Writes.push_back(RowWrite{Key, nullptr});
@@ -163,7 +165,7 @@
   }
 }
 
-void JobStore::write() {
+void JobStore::writeBatch() {
   if (Closed_)
     return;
   Transaction Change;
@@ -171,119 +173,125 @@
   Change.Checks = {{markerKey(), MarkerVersion_},
                    {Scope_.EpochKey, Scope_.EpochVersion}};
   Change.Writes = {{markerKey(), {{"epoch", Scope_.EpochVersion}}}};
-  Batch Sent = std::exchange(Next_, {});
+  Batch Sent = std::exchange(NextBatch_, {});
   while (Sent.Jobs.size() > MaxJobsPerWrite) {
     // Callbacks wait for the last part, so none comes too early.
-    Next_.Jobs.insert(Sent.Jobs.extract(std::prev(Sent.Jobs.end())));
+    NextBatch_.Jobs.insert(Sent.Jobs.extract(std::prev(Sent.Jobs.end())));
   }
-  if (!Next_.Jobs.empty()) {
-    Next_.Callbacks.swap(Sent.Callbacks);
-    Next_.Ends.swap(Sent.Ends);
-    const auto Later = std::partition(
-        Sent.Creations.begin(), Sent.Creations.end(),
-        [&](const Creation &Each) { return Sent.Jobs.contains(Each.Job); });
-    Next_.Creations.assign(std::make_move_iterator(Later),
-                           std::make_move_iterator(Sent.Creations.end()));
-    Sent.Creations.erase(Later, Sent.Creations.end());
+  if (!NextBatch_.Jobs.empty()) {
+    NextBatch_.Callbacks.swap(Sent.Callbacks);
+    NextBatch_.Ends.swap(Sent.Ends);
+    const auto FirstDeferred =
+        std::partition(Sent.Creations.begin(), Sent.Creations.end(),
+                       [&](const PendingCreation &Each) {
+                         return Sent.Jobs.contains(Each.Job);
+                       });
+    NextBatch_.Creations.assign(std::make_move_iterator(FirstDeferred),
+                                std::make_move_iterator(Sent.Creations.end()));
+    Sent.Creations.erase(FirstDeferred, Sent.Creations.end());
   }
   for (const std::string &Job : Sent.Jobs)
-    addWrites(Change, Job);
-  auto Shared = std::make_shared<Batch>(std::move(Sent));
-  Rows_.commit(std::move(Change), [Self = shared_from_this(),
-                                   Shared](Result<CommitOutcome> Outcome) {
-    Self->settle(std::move(*Shared), Outcome);
+    addJobWrites(Change, Job);
+  auto SharedBatch = std::make_shared<Batch>(std::move(Sent));
+  Table_.commit(std::move(Change), [Self = shared_from_this(), SharedBatch](
+                                       Result<CommitOutcome> Outcome) {
+    Self->handleCommitResult(std::move(*SharedBatch), Outcome);
   });
 }
 
-void JobStore::settle(Batch Sent, const Result<CommitOutcome> &Outcome) {
-  Writing_ = false;
+void JobStore::handleCommitResult(Batch Sent,
+                                  const Result<CommitOutcome> &Outcome) {
+  WriteInProgress_ = false;
   if (!Outcome)
-    settleUnavailable(std::move(Sent));
+    handleUnavailable(std::move(Sent));
   else if (Outcome->committed())
-    settleCommitted(std::move(Sent), Outcome->Revision);
+    handleCommitted(std::move(Sent), Outcome->Revision);
   else
-    settleConflict(std::move(Sent), Outcome->Conflicts);
-  if (!Next_.Jobs.empty() && !Writing_)
-    plan();
+    handleConflict(std::move(Sent), Outcome->Conflicts);
+  if (!NextBatch_.Jobs.empty() && !WriteInProgress_)
+    scheduleWrite();
 }
 
-void JobStore::settleCommitted(Batch Sent, std::int64_t Revision) {
+void JobStore::handleCommitted(Batch Sent, std::int64_t Revision) {
   MarkerVersion_ = Revision;
   for (const TaskRef &Task : Sent.Ends)
-    Jobs_.at(Task.Job).NewEnds.erase(Task.Index);
+    Jobs_.at(Task.Job).UnwrittenEnds.erase(Task.Index);
   for (const std::string &Job : Sent.Jobs) {
     const auto Found = Jobs_.find(Job);
     Found->second.InTable = true;
-    if (Found->second.Finished && !Next_.Jobs.contains(Job))
+    if (Found->second.Finished && !NextBatch_.Jobs.contains(Job))
       Jobs_.erase(Found);
   }
   if (!Closed_)
-    for (const Committed &Each : Sent.Callbacks)
+    for (const CommitCallback &Each : Sent.Callbacks)
       Each();
   // A creation that took effect is told even by a store that was closed
   // meanwhile: the next owner has the job.
-  for (const Creation &Each : Sent.Creations)
+  for (const PendingCreation &Each : Sent.Creations)
     Each.Done(Each.Job);
 }
 
-void JobStore::settleConflict(Batch Sent,
+void JobStore::handleConflict(Batch Sent,
                               const std::vector<std::string> &Conflicts) {
-  const auto Lost = [&](const std::string &Key) {
+  const auto HasConflict = [&](const std::string &Key) {
     return std::find(Conflicts.begin(), Conflicts.end(), Key) !=
            Conflicts.end();
   };
-  std::vector<Creation> Taken;
-  std::vector<Creation> Again;
-  for (Creation &Each : Sent.Creations) {
-    if (Lost(nameKey(Jobs_.at(Each.Job).Row)))
-      Taken.push_back(std::move(Each));
+  std::vector<PendingCreation> NameTaken;
+  std::vector<PendingCreation> ToRetry;
+  for (PendingCreation &Each : Sent.Creations) {
+    if (HasConflict(nameKey(Jobs_.at(Each.Job).Row)))
+      NameTaken.push_back(std::move(Each));
     else
-      Again.push_back(std::move(Each));
+      ToRetry.push_back(std::move(Each));
   }
-  if (Closed_ || Taken.empty()) {
-    for (Creation &Each : Again)
+  if (Closed_ || NameTaken.empty()) {
+    for (PendingCreation &Each : ToRetry)
       Each.Done(failure(ErrorCode::NoOwner));
-    for (Creation &Each : Taken)
+    for (PendingCreation &Each : NameTaken)
       Each.Done(failure(ErrorCode::NoOwner));
     if (!Closed_ && OnSuperseded)
       OnSuperseded();
     return;
   }
-  for (Creation &Each : Taken) {
+  for (PendingCreation &Each : NameTaken) {
     Sent.Jobs.erase(Each.Job);
-    lookUpName(std::move(Each));
+    resolveNameConflict(std::move(Each));
   }
-  keepForLater(Sent);
-  std::move(Again.begin(), Again.end(), std::back_inserter(Next_.Creations));
+  requeue(Sent);
+  std::move(ToRetry.begin(), ToRetry.end(),
+            std::back_inserter(NextBatch_.Creations));
 }
 
-void JobStore::settleUnavailable(Batch Sent) {
+void JobStore::handleUnavailable(Batch Sent) {
   // Certainly nothing was written: new jobs are refused, the rest waits.
-  for (const Creation &Each : Sent.Creations) {
+  for (const PendingCreation &Each : Sent.Creations) {
     Sent.Jobs.erase(Each.Job);
     Jobs_.erase(Each.Job);
     Each.Done(failure(ErrorCode::PlatformUnavailable));
   }
   if (Closed_)
     return;
-  keepForLater(Sent);
-  if (Next_.Jobs.empty())
+  requeue(Sent);
+  if (NextBatch_.Jobs.empty())
     return;
-  Writing_ = true;
-  Home_.after(RetryDelay, [Self = shared_from_this()] { Self->write(); });
+  WriteInProgress_ = true;
+  ControlLoop_.after(RetryDelay,
+                     [Self = shared_from_this()] { Self->writeBatch(); });
 }
 
-void JobStore::keepForLater(Batch &Sent) {
-  Next_.Jobs.merge(Sent.Jobs);
+void JobStore::requeue(Batch &Sent) {
+  NextBatch_.Jobs.merge(Sent.Jobs);
   std::move(Sent.Callbacks.begin(), Sent.Callbacks.end(),
-            std::back_inserter(Next_.Callbacks));
-  std::move(Sent.Ends.begin(), Sent.Ends.end(), std::back_inserter(Next_.Ends));
+            std::back_inserter(NextBatch_.Callbacks));
+  std::move(Sent.Ends.begin(), Sent.Ends.end(),
+            std::back_inserter(NextBatch_.Ends));
 }
 
-void JobStore::lookUpName(Creation Lost) {
-  const std::string Key = nameKey(Jobs_.at(Lost.Job).Row);
-  Jobs_.erase(Lost.Job);
-  Rows_.read(Key, [Done = std::move(Lost.Done)](Result<TableRow> Row) {
+void JobStore::resolveNameConflict(PendingCreation Creation) {
+  const std::string Key = nameKey(Jobs_.at(Creation.Job).Row);
+  Jobs_.erase(Creation.Job);
+  Table_.read(Key, [Done = std::move(Creation.Done)](Result<TableRow> Row) {
     if (!Row)
       Done(tl::unexpected(Row.error()));
     else
