--- a/packages/daemon/include/cuminroad/daemon/HttpReplies.h
+++ b/packages/daemon/include/cuminroad/daemon/HttpReplies.h
@@ -13,7 +13,7 @@
 /// What became of a request or a job's submission.
 enum class Outcome { Done, NotRun, Unknown };
 
-std::string_view outcomeName(Outcome What);
+std::string_view outcomeName(Outcome RequestOutcome);
 
 /// \returns an answer with a JSON body.
 HttpResponse jsonReply(int Status, const nlohmann::json &Body);
@@ -21,7 +21,7 @@
 /// number, name, message and detail.
 HttpResponse errorReply(const Error &Fault);
 /// \returns the answer for a request that has no answer of its own.
-HttpResponse outcomeReply(Outcome What, const Error &Why);
+HttpResponse outcomeReply(Outcome RequestOutcome, const Error &Cause);
 
 } // namespace cuminroad
 
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -31,7 +31,7 @@
 }
 
 /// Takes as long for a wrong token as for the right one.
-bool sameSecret(std::string_view Left, std::string_view Right) {
+bool equalInConstantTime(std::string_view Left, std::string_view Right) {
   unsigned Difference = Left.size() == Right.size() ? 0 : 1;
   for (std::size_t Index = 0; Index < Left.size(); ++Index)
     Difference |= static_cast<unsigned char>(Left[Index]) ^
@@ -41,14 +41,14 @@
 }
 
 /// Names of customers become parts of keys in the table.
-bool validCustomer(const std::string &Name) {
+bool isValidCustomerName(const std::string &Name) {
   return !Name.empty() && Name.size() <= MaxCustomerLength &&
          std::all_of(Name.begin(), Name.end(), [](unsigned char Letter) {
            return std::isalnum(Letter) != 0 || Letter == '-' || Letter == '_';
          });
 }
 
-std::string domainOf(const std::string &Job) {
+std::string domainOfJob(const std::string &Job) {
   return Job.substr(0, Job.find('.'));
 }
 
@@ -83,11 +83,12 @@
 
 } // namespace
 
-Api::Api(DaemonParts &Parts, RequestFrontend &Frontend, Metrics &Figures)
-    : Parts_(Parts), Frontend_(Frontend), Metrics_(Figures) {}
+Api::Api(DaemonComponents &Components, RequestFrontend &Frontend,
+         Metrics &DaemonMetrics)
+    : Components_(Components), Frontend_(Frontend), Metrics_(DaemonMetrics) {}
 
 void Api::handle(HttpRequest Request, HttpResponder Respond) {
-  const Path Parts = splitPath(Request.Path);
+  const PathSegments Segments = splitPath(Request.Path);
   if (Request.Path == "/healthz")
     return Respond(jsonReply(200, {{"healthy", true}}));
   if (Request.Path == "/readyz") {
@@ -95,20 +96,20 @@
     return Respond(jsonReply(Ready ? 200 : 503, {{"ready", Ready}}));
   }
   const bool Post = Request.Method == "POST";
-  if (Post && Parts.size() == 6 && Parts[0] == "v1" &&
-      Parts[1] == "customers" && Parts[3] == "services" &&
-      Parts[5] == "requests") {
-    if (!Parts_.Keeper.ready())
+  if (Post && Segments.size() == 6 && Segments[0] == "v1" &&
+      Segments[1] == "customers" && Segments[3] == "services" &&
+      Segments[5] == "requests") {
+    if (!Components_.SharedConfig.ready())
       return Respond(
           outcomeReply(Outcome::NotRun, Error{ErrorCode::NotReady, {}}));
-    return Frontend_.handleRequest(Parts[2], Parts[4], std::move(Request),
+    return Frontend_.handleRequest(Segments[2], Segments[4], std::move(Request),
                                    std::move(Respond));
   }
   if (Post && Request.Path == "/v1/tickets")
     return Respond(Frontend_.issueTicket());
-  Parts_.Control->post([this, Parts, Request = std::move(Request),
-                        Respond = std::move(Respond)] {
-    handleControl(Parts, Request, Respond);
+  Components_.ControlLoop->post([this, Segments, Request = std::move(Request),
+                                 Respond = std::move(Respond)] {
+    handleOnControlThread(Segments, Request, Respond);
   });
 }
 
@@ -116,47 +117,50 @@
   const std::string_view Header = findHeader(Request.Headers, "Authorization");
   constexpr std::string_view Scheme = "Bearer ";
   return Header.starts_with(Scheme) &&
-         sameSecret(Header.substr(Scheme.size()), Parts_.Config.OperatorToken);
+         equalInConstantTime(Header.substr(Scheme.size()),
+                             Components_.Config.OperatorToken);
 }
 
-void Api::handleControl(const Path &Parts, const HttpRequest &Request,
-                        const HttpResponder &Respond) {
+void Api::handleOnControlThread(const PathSegments &Segments,
+                                const HttpRequest &Request,
+                                const HttpResponder &Respond) {
   if (Request.Path == "/metrics")
-    return Respond(HttpResponse{200,
-                                {},
-                                Metrics_.render(Parts_, Frontend_, Peers()),
-                                "text/plain; version=0.0.4"});
-  const bool Known = Parts.size() >= 2 && Parts[0] == "v1";
-  if (Known && Parts[1] == "jobs" &&
-      !(Parts.size() == 2 && Request.Method == "GET"))
-    return handleJobs(Parts, Request, Respond);
+    return Respond(
+        HttpResponse{200,
+                     {},
+                     Metrics_.render(Components_, Frontend_, GetPeerTraffic()),
+                     "text/plain; version=0.0.4"});
+  const bool Known = Segments.size() >= 2 && Segments[0] == "v1";
+  if (Known && Segments[1] == "jobs" &&
+      !(Segments.size() == 2 && Request.Method == "GET"))
+    return handleJobs(Segments, Request, Respond);
   if (!Known)
     return Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
   // The rest is for operators.
   if (!authorized(Request))
     return Respond(errorReply(Error{ErrorCode::Unauthorized, {}}));
-  if (Parts[1] == "contracts")
-    return handleContracts(Parts, Request, Respond);
-  if (Request.Method == "GET" && Parts.size() == 2) {
-    if (Parts[1] == "state" || Parts[1] == "jobs")
+  if (Segments[1] == "contracts")
+    return handleContracts(Segments, Request, Respond);
+  if (Request.Method == "GET" && Segments.size() == 2) {
+    if (Segments[1] == "state" || Segments[1] == "jobs")
       return showState(Respond);
-    if (Parts[1] == "events")
+    if (Segments[1] == "events")
       return showEvents(Request, Respond);
   }
-  if (Request.Method == "POST" && Parts.size() == 4 && Parts[1] == "vms" &&
-      Parts[3] == "drain")
-    return drainVm(Parts[2], Request, Respond);
+  if (Request.Method == "POST" && Segments.size() == 4 &&
+      Segments[1] == "vms" && Segments[3] == "drain")
+    return drainVm(Segments[2], Request, Respond);
   Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
 }
 
-void Api::handleJobs(const Path &Parts, const HttpRequest &Request,
+void Api::handleJobs(const PathSegments &Segments, const HttpRequest &Request,
                      const HttpResponder &Respond) {
-  if (Parts.size() == 2 && Request.Method == "POST")
+  if (Segments.size() == 2 && Request.Method == "POST")
     return submitJob(Request, Respond);
-  if (Parts.size() == 3 && Request.Method == "GET")
-    return showJob(Parts[2], Request, Respond);
-  if (Parts.size() == 3 && Request.Method == "DELETE")
-    return cancelJob(Parts[2], Request, Respond);
+  if (Segments.size() == 3 && Request.Method == "GET")
+    return showJob(Segments[2], Request, Respond);
+  if (Segments.size() == 3 && Request.Method == "DELETE")
+    return cancelJob(Segments[2], Request, Respond);
   Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
 }
 
@@ -167,103 +171,109 @@
   const auto Spec = parseJobSpec(*Body);
   if (!Spec)
     return Respond(errorReply(Spec.error()));
-  if (!Parts_.Contracts.find(Spec->Customer))
+  if (!Components_.Contracts.find(Spec->Customer))
     return Respond(outcomeReply(
         Outcome::NotRun, Error{ErrorCode::UnknownCustomer, Spec->Customer}));
   if (!findHeader(Request.Headers, "X-Forwarded-By").empty())
-    return submitHere(Request, Respond);
-  std::vector<std::string> Domains{Parts_.Config.Domain};
-  for (const std::string &Domain : Parts_.Config.Domains)
-    if (Domain != Parts_.Config.Domain)
+    return submitToLocalOwner(Request, Respond);
+  std::vector<std::string> Domains{Components_.Config.Domain};
+  for (const std::string &Domain : Components_.Config.Domains)
+    if (Domain != Components_.Config.Domain)
       Domains.push_back(Domain);
-  spillJob(Request, Respond, std::move(Domains), HttpResponse{});
+  submitToDomains(Request, Respond, std::move(Domains), HttpResponse{});
 }
 
-void Api::spillJob(const HttpRequest &Request, const HttpResponder &Respond,
-                   std::vector<std::string> Domains, HttpResponse Last) {
+void Api::submitToDomains(const HttpRequest &Request,
+                          const HttpResponder &Respond,
+                          std::vector<std::string> Domains,
+                          HttpResponse FirstRefusal) {
   if (Domains.empty())
-    return Respond(std::move(Last));
+    return Respond(std::move(FirstRefusal));
   const std::string Domain = Domains.front();
   Domains.erase(Domains.begin());
-  const HttpResponder Next = [=, this](HttpResponse Answer) {
+  const HttpResponder Next = [=, this](HttpResponse Response) {
     // "Not run" lets the next domain have the job; the caller gets the refusal
     // of its own domain where all refuse.
-    const bool NotRun =
-        findHeader(Answer.Headers, "X-Outcome") == outcomeName(Outcome::NotRun);
-    if (!NotRun || !mayRunElsewhere(Answer.Status))
-      return Respond(std::move(Answer));
-    HttpResponse Kept = Last.Body.empty() ? std::move(Answer) : Last;
-    Parts_.Control->post([=, this, Kept = std::move(Kept)] {
-      spillJob(Request, Respond, Domains, Kept);
+    const bool NotRun = findHeader(Response.Headers, "X-Outcome") ==
+                        outcomeName(Outcome::NotRun);
+    if (!NotRun || !mayRunElsewhere(Response.Status))
+      return Respond(std::move(Response));
+    HttpResponse Refusal =
+        FirstRefusal.Body.empty() ? std::move(Response) : FirstRefusal;
+    Components_.ControlLoop->post([=, this, Refusal = std::move(Refusal)] {
+      submitToDomains(Request, Respond, Domains, Refusal);
     });
   };
-  if (Domain == Parts_.Config.Domain && Parts_.Domain)
-    submitHere(Request, Next);
+  if (Domain == Components_.Config.Domain && Components_.LocalOwner)
+    submitToLocalOwner(Request, Next);
   else
-    forward(Domain, Request, Next);
+    forwardToOwner(Domain, Request, Next);
 }
 
-void Api::submitHere(const HttpRequest &Request, const HttpResponder &Respond) {
+void Api::submitToLocalOwner(const HttpRequest &Request,
+                             const HttpResponder &Respond) {
   const auto Body = parseJson(Request.Body, false);
   const auto Spec = parseJobSpec(*Body);
-  if (!Parts_.Domain)
+  if (!Components_.LocalOwner)
     return Respond(outcomeReply(
-        Outcome::NotRun, Error{ErrorCode::NoOwner, Parts_.Config.Domain}));
-  Parts_.Domain->submit(*Spec, [Respond](Result<std::string> Id) {
+        Outcome::NotRun, Error{ErrorCode::NoOwner, Components_.Config.Domain}));
+  Components_.LocalOwner->submit(*Spec, [Respond](Result<std::string> Id) {
     if (Id) {
-      HttpResponse Answer = jsonReply(202, {{"id", *Id}});
-      Answer.Headers.emplace_back("X-Outcome", outcomeName(Outcome::Done));
-      return Respond(std::move(Answer));
+      HttpResponse Response = jsonReply(202, {{"id", *Id}});
+      Response.Headers.emplace_back("X-Outcome", outcomeName(Outcome::Done));
+      return Respond(std::move(Response));
     }
-    const Outcome What = Id.error().Code == ErrorCode::WriteOutcomeUnknown
-                             ? Outcome::Unknown
-                             : Outcome::NotRun;
-    Respond(outcomeReply(What, Id.error()));
+    const Outcome SubmitOutcome =
+        Id.error().Code == ErrorCode::WriteOutcomeUnknown ? Outcome::Unknown
+                                                          : Outcome::NotRun;
+    Respond(outcomeReply(SubmitOutcome, Id.error()));
   });
 }
 
 void Api::showJob(const std::string &Id, const HttpRequest &Request,
                   const HttpResponder &Respond) {
-  const bool Local = domainOf(Id) == Parts_.Config.Domain && Parts_.Domain;
+  const bool Local =
+      domainOfJob(Id) == Components_.Config.Domain && Components_.LocalOwner;
   if (Local) {
-    if (const auto View = Parts_.Domain->job(Id))
+    if (const auto View = Components_.LocalOwner->job(Id))
       return Respond(jsonReply(200, jobJson(*View)));
     return readFinishedJob(Id, Respond);
   }
   if (!findHeader(Request.Headers, "X-Forwarded-By").empty())
     return readFinishedJob(Id, Respond);
-  forward(domainOf(Id), Request,
-          [this, Id, Respond](const HttpResponse &Answer) {
-            if (Answer.Status < 500)
-              return Respond(Answer);
-            Parts_.Control->post(
-                [this, Id, Respond] { readFinishedJob(Id, Respond); });
-          });
+  forwardToOwner(domainOfJob(Id), Request,
+                 [this, Id, Respond](const HttpResponse &Response) {
+                   if (Response.Status < 500)
+                     return Respond(Response);
+                   Components_.ControlLoop->post(
+                       [this, Id, Respond] { readFinishedJob(Id, Respond); });
+                 });
 }
 
 void Api::readFinishedJob(const std::string &Id, const HttpResponder &Respond) {
-  Parts_.Rows.read("done/" + Id, [Id, Respond](Result<TableRow> Row) {
-    if (!Row)
-      return Respond(errorReply(Row.error()));
-    const auto Job = parseJobRow(Row->Value);
-    if (Row->Version == 0 || !Job)
-      return Respond(errorReply(Error{ErrorCode::UnknownJob, Id}));
-    const auto Failed =
-        std::count_if(Job->Ended.begin(), Job->Ended.end(),
-                      [](const auto &Entry) { return Entry.second; });
-    Respond(jsonReply(200, {{"job", toJson(Job->Spec)},
-                            {"state", "finished"},
-                            {"outcome", jobOutcomeName(*Job->Outcome)},
-                            {"ended", Job->Ended.size()},
-                            {"failed", Failed}}));
-  });
+  Components_.RetryingTable.read(
+      "done/" + Id, [Id, Respond](Result<TableRow> Row) {
+        if (!Row)
+          return Respond(errorReply(Row.error()));
+        const auto Job = parseJobRow(Row->Value);
+        if (Row->Version == 0 || !Job)
+          return Respond(errorReply(Error{ErrorCode::UnknownJob, Id}));
+        const auto Failed =
+            std::count_if(Job->Ended.begin(), Job->Ended.end(),
+                          [](const auto &Entry) { return Entry.second; });
+        Respond(jsonReply(200, {{"job", toJson(Job->Spec)},
+                                {"state", "finished"},
+                                {"outcome", jobOutcomeName(*Job->Outcome)},
+                                {"ended", Job->Ended.size()},
+                                {"failed", Failed}}));
+      });
 }
 
 void Api::cancelJob(const std::string &Id, const HttpRequest &Request,
                     const HttpResponder &Respond) {
-  if (domainOf(Id) != Parts_.Config.Domain || !Parts_.Domain)
-    return forward(domainOf(Id), Request, Respond);
-  Parts_.Domain->cancel(Id, [Id, Respond](Result<void> Done) {
+  if (domainOfJob(Id) != Components_.Config.Domain || !Components_.LocalOwner)
+    return forwardToOwner(domainOfJob(Id), Request, Respond);
+  Components_.LocalOwner->cancel(Id, [Id, Respond](Result<void> Done) {
     if (Done)
       Respond(jsonReply(202, {{"id", Id}, {"state", "cancelling"}}));
     else
@@ -271,28 +281,30 @@
   });
 }
 
-void Api::handleContracts(const Path &Parts, const HttpRequest &Request,
+void Api::handleContracts(const PathSegments &Segments,
+                          const HttpRequest &Request,
                           const HttpResponder &Respond) {
-  if (Parts.size() == 2 && Request.Method == "GET")
+  if (Segments.size() == 2 && Request.Method == "GET")
     return listContracts(Respond);
-  if (Parts.size() != 3)
+  if (Segments.size() != 3)
     return Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
   if (Request.Method == "PUT" || Request.Method == "DELETE")
-    return changeContract(Parts[2], Request, Respond);
-  const auto Found = Parts_.Keeper.contracts().find(Parts[2]);
+    return changeContract(Segments[2], Request, Respond);
+  const auto Found = Components_.SharedConfig.contracts().find(Segments[2]);
   if (Request.Method != "GET")
     return Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
-  if (Found == Parts_.Keeper.contracts().end())
-    return Respond(errorReply(Error{ErrorCode::UnknownCustomer, Parts[2]}));
+  if (Found == Components_.SharedConfig.contracts().end())
+    return Respond(errorReply(Error{ErrorCode::UnknownCustomer, Segments[2]}));
   Respond(jsonReply(200, contractJson(Found->second)));
 }
 
 void Api::listContracts(const HttpResponder &Respond) {
   nlohmann::json Out = nlohmann::json::array();
-  for (const auto &[Customer, Kept] : Parts_.Keeper.contracts())
+  for (const auto &[Customer, Kept] : Components_.SharedConfig.contracts())
     Out.push_back(contractJson(Kept));
-  Respond(jsonReply(
-      200, {{"contracts", Out}, {"applied", Parts_.Keeper.appliedVersion()}}));
+  Respond(
+      jsonReply(200, {{"contracts", Out},
+                      {"applied", Components_.SharedConfig.appliedVersion()}}));
 }
 
 void Api::changeContract(const std::string &Customer,
@@ -307,7 +319,7 @@
   Change.Customer = Customer;
   Change.ExpectedVersion = Reader.integer("expected_version", VersionRange);
   Change.Operator = Reader.text("operator", "");
-  if (!validCustomer(Customer))
+  if (!isValidCustomerName(Customer))
     Reader.fault(ErrorCode::ValueOutOfRange, "customer",
                  "must be letters, digits, - and _");
   if (Request.Method == "PUT") {
@@ -322,37 +334,39 @@
   Reader.finish();
   if (!Faults.empty())
     return Respond(errorReply(joinFaults(Faults)));
-  Parts_.Keeper.propose(Change, [Respond](Result<ChangeResult> Got) {
-    if (!Got)
-      return Respond(errorReply(Got.error()));
-    Respond(jsonReply(Got->Accepted ? 200 : 202,
-                      {{"change_id", Got->ChangeId},
-                       {"accepted", Got->Accepted},
-                       {"in_force_everywhere", Got->InForce},
-                       {"waits_for", Got->WaitsFor},
-                       {"contract", toJson(Got->Record)}}));
-  });
+  Components_.SharedConfig.propose(
+      Change, [Respond](Result<ChangeResult> Result) {
+        if (!Result)
+          return Respond(errorReply(Result.error()));
+        Respond(jsonReply(Result->Accepted ? 200 : 202,
+                          {{"change_id", Result->ChangeId},
+                           {"accepted", Result->Accepted},
+                           {"in_force_everywhere", Result->InForce},
+                           {"waits_for", Result->WaitsFor},
+                           {"contract", toJson(Result->Record)}}));
+      });
 }
 
 void Api::showState(const HttpResponder &Respond) {
-  const OwnerInfo &Owner = Parts_.Owners.owner();
+  const OwnerInfo &Owner = Components_.DomainOwnership.owner();
   nlohmann::json Members = nlohmann::json::array();
-  for (const Identity &Member : Parts_.Members.all())
+  for (const Identity &Member : Components_.Members.all())
     Members.push_back({{"name", Member.Name},
                        {"failure_domain", Member.Domain},
                        {"http", Member.Http}});
-  nlohmann::json Out{{"daemon", Parts_.Self.Name},
-                     {"failure_domain", Parts_.Self.Domain},
-                     {"is_owner", Parts_.Domain != nullptr},
-                     {"owner", Owner.Holder},
-                     {"epoch", Owner.Epoch},
-                     {"platform_reachable", Parts_.Rows.reachable()},
-                     {"config_version", Parts_.Keeper.appliedVersion()},
-                     {"requests_waiting", Frontend_.waitingRequests()},
-                     {"daemons", Members}};
-  if (Parts_.Domain) {
+  nlohmann::json Out{
+      {"daemon", Components_.Self.Name},
+      {"failure_domain", Components_.Self.Domain},
+      {"is_owner", Components_.LocalOwner != nullptr},
+      {"owner", Owner.Holder},
+      {"epoch", Owner.Epoch},
+      {"platform_reachable", Components_.RetryingTable.reachable()},
+      {"config_version", Components_.SharedConfig.appliedVersion()},
+      {"requests_waiting", Frontend_.waitingRequests()},
+      {"daemons", Members}};
+  if (Components_.LocalOwner) {
     Out["vms"] = nlohmann::json::array();
-    for (const VmView &Vm : Parts_.Domain->vms())
+    for (const VmView &Vm : Components_.LocalOwner->vms())
       Out["vms"].push_back({{"id", Vm.Id},
                             {"condition", vmConditionName(Vm.Condition)},
                             {"total", capacityJson(Vm.Total)},
@@ -361,7 +375,7 @@
                             {"reserved", Vm.Reserved},
                             {"tasks", Vm.Tasks}});
     Out["jobs"] = nlohmann::json::array();
-    for (const JobView &Job : Parts_.Domain->jobs())
+    for (const JobView &Job : Components_.LocalOwner->jobs())
       Out["jobs"].push_back(jobJson(Job));
   }
   Respond(jsonReply(200, Out));
@@ -372,81 +386,87 @@
   const std::string_view Text = Request.query("after");
   std::from_chars(Text.data(), Text.data() + Text.size(), After);
   nlohmann::json Out = nlohmann::json::array();
-  for (const Event &Each : Parts_.Events.since(After))
+  for (const Event &Each : Components_.Events.since(After))
     Out.push_back({{"stamp", Each.Stamp},
                    {"event", static_cast<int>(Each.Id)},
                    {"name", eventInfo(Each.Id).Name},
                    {"subject", Each.Subject},
                    {"detail", Each.Detail}});
-  Respond(jsonReply(200, {{"process", Parts_.Self.Name}, {"events", Out}}));
+  Respond(
+      jsonReply(200, {{"process", Components_.Self.Name}, {"events", Out}}));
 }
 
 void Api::drainVm(const std::string &Vm, const HttpRequest &Request,
                   const HttpResponder &Respond) {
-  if (Parts_.Domain) {
-    const auto Vms = Parts_.Domain->vms();
+  if (Components_.LocalOwner) {
+    const auto Vms = Components_.LocalOwner->vms();
     const bool Known =
         std::any_of(Vms.begin(), Vms.end(),
                     [&](const VmView &Each) { return Each.Id == Vm; });
     if (Known) {
-      Parts_.Domain->drain(Vm);
+      Components_.LocalOwner->drain(Vm);
       return Respond(jsonReply(202, {{"vm", Vm}, {"state", "leaving"}}));
     }
   }
-  if (!Parts_.Domain && findHeader(Request.Headers, "X-Forwarded-By").empty())
-    return forward(Parts_.Config.Domain, Request, Respond);
+  if (!Components_.LocalOwner &&
+      findHeader(Request.Headers, "X-Forwarded-By").empty())
+    return forwardToOwner(Components_.Config.Domain, Request, Respond);
   Respond(errorReply(Error{ErrorCode::UnknownPath, Vm}));
 }
 
-void Api::forward(const std::string &Domain, const HttpRequest &Request,
-                  HttpResponder Respond) {
+void Api::forwardToOwner(const std::string &Domain, const HttpRequest &Request,
+                         HttpResponder Respond) {
   const HttpResponse NoOwner =
       outcomeReply(Outcome::NotRun, Error{ErrorCode::NoOwner, Domain});
   const bool Forwarded = !findHeader(Request.Headers, "X-Forwarded-By").empty();
   if (Forwarded)
     return Respond(NoOwner);
-  if (Domain == Parts_.Config.Domain) {
-    const OwnerInfo &Owner = Parts_.Owners.owner();
-    if (Owner.Http.empty() || Owner.Holder == Parts_.Self.Name)
+  if (Domain == Components_.Config.Domain) {
+    const OwnerInfo &Owner = Components_.DomainOwnership.owner();
+    if (Owner.Http.empty() || Owner.Holder == Components_.Self.Name)
       return Respond(NoOwner);
-    return forwardTo(Owner.Http, Request, std::move(Respond));
+    return forwardToDaemon(Owner.Http, Request, std::move(Respond));
   }
-  const auto &Domains = Parts_.Config.Domains;
+  const auto &Domains = Components_.Config.Domains;
   if (std::find(Domains.begin(), Domains.end(), Domain) == Domains.end())
     return Respond(errorReply(Error{ErrorCode::UnknownJob, Domain}));
-  Parts_.Rows.read("owner/" + Domain, [this, Request, Respond,
-                                       NoOwner](Result<TableRow> Row) {
-    const std::string Http = Row ? Row->Value.value("http", "") : "";
-    if (Http.empty())
-      return Respond(NoOwner);
-    forwardTo(Http, Request, Respond);
-  });
+  Components_.RetryingTable.read(
+      "owner/" + Domain,
+      [this, Request, Respond, NoOwner](Result<TableRow> Row) {
+        const std::string Http = Row ? Row->Value.value("http", "") : "";
+        if (Http.empty())
+          return Respond(NoOwner);
+        forwardToDaemon(Http, Request, Respond);
+      });
 }
 
-void Api::forwardTo(const std::string &Http, const HttpRequest &Request,
-                    HttpResponder Respond) {
+void Api::forwardToDaemon(const std::string &Http, const HttpRequest &Request,
+                          HttpResponder Respond) {
   HttpCall Call;
   Call.Method = Request.Method;
-  Call.Url = Parts_.Config.reachable("http://" + Http + Request.Path);
+  Call.Url = Components_.Config.reachable("http://" + Http + Request.Path);
   Call.Body = Request.Body;
   Call.Timeout = ForwardTimeout;
-  Call.Headers = {{"X-Forwarded-By", Parts_.Self.Name}};
+  Call.Headers = {{"X-Forwarded-By", Components_.Self.Name}};
   const std::string_view Token = findHeader(Request.Headers, "Authorization");
   if (!Token.empty())
     Call.Headers.emplace_back("Authorization", Token);
-  Parts_.ControlClient->send(
-      std::move(Call), [Respond = std::move(Respond)](HttpResult Got) {
-        if (!Got) {
-          const bool Certain = Got.error().Code == ErrorCode::ConnectFailed;
-          return Respond(outcomeReply(
-              Certain ? Outcome::NotRun : Outcome::Unknown, Got.error()));
+  Components_.ControlClient->send(
+      std::move(Call), [Respond = std::move(Respond)](HttpResult Result) {
+        if (!Result) {
+          const bool CertainlyNotSent =
+              Result.error().Code == ErrorCode::ConnectFailed;
+          return Respond(outcomeReply(CertainlyNotSent ? Outcome::NotRun
+                                                       : Outcome::Unknown,
+                                      Result.error()));
         }
-        HttpResponse Answer = std::move(*Got);
-        const std::string What(findHeader(Answer.Headers, "X-Outcome"));
-        Answer.Headers.clear();
-        if (!What.empty())
-          Answer.Headers.emplace_back("X-Outcome", What);
-        Respond(std::move(Answer));
+        HttpResponse Response = std::move(*Result);
+        const std::string OutcomeHeader(
+            findHeader(Response.Headers, "X-Outcome"));
+        Response.Headers.clear();
+        if (!OutcomeHeader.empty())
+          Response.Headers.emplace_back("X-Outcome", OutcomeHeader);
+        Respond(std::move(Response));
       });
 }
 
--- a/packages/daemon/src/Api.h
+++ b/packages/daemon/src/Api.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "DaemonParts.h"
+#include "DaemonComponents.h"
 #include "Metrics.h"
 #include "cuminroad/daemon/HttpReplies.h"
 #include "cuminroad/net/HttpServer.h"
@@ -17,27 +17,31 @@
 /// is worked on by the control thread.
 class Api {
 public:
-  Api(DaemonParts &Parts, RequestFrontend &Frontend, Metrics &Figures);
+  Api(DaemonComponents &Components, RequestFrontend &Frontend,
+      Metrics &DaemonMetrics);
 
   void handle(HttpRequest Request, HttpResponder Respond);
   /// Whether callers may be sent here.
   std::function<bool()> IsReady;
-  std::function<PeerTraffic()> Peers;
+  std::function<PeerTraffic()> GetPeerTraffic;
 
 private:
-  using Path = std::vector<std::string>;
+  using PathSegments = std::vector<std::string>;
 
-  void handleControl(const Path &Parts, const HttpRequest &Request,
-                     const HttpResponder &Respond);
+  void handleOnControlThread(const PathSegments &Segments,
+                             const HttpRequest &Request,
+                             const HttpResponder &Respond);
   bool authorized(const HttpRequest &Request) const;
-  void handleJobs(const Path &Parts, const HttpRequest &Request,
+  void handleJobs(const PathSegments &Segments, const HttpRequest &Request,
                   const HttpResponder &Respond);
-  void handleContracts(const Path &Parts, const HttpRequest &Request,
+  void handleContracts(const PathSegments &Segments, const HttpRequest &Request,
                        const HttpResponder &Respond);
   void submitJob(const HttpRequest &Request, const HttpResponder &Respond);
-  void spillJob(const HttpRequest &Request, const HttpResponder &Respond,
-                std::vector<std::string> Domains, HttpResponse Last);
-  void submitHere(const HttpRequest &Request, const HttpResponder &Respond);
+  void submitToDomains(const HttpRequest &Request, const HttpResponder &Respond,
+                       std::vector<std::string> Domains,
+                       HttpResponse FirstRefusal);
+  void submitToLocalOwner(const HttpRequest &Request,
+                          const HttpResponder &Respond);
   void showJob(const std::string &Id, const HttpRequest &Request,
                const HttpResponder &Respond);
   void readFinishedJob(const std::string &Id, const HttpResponder &Respond);
@@ -51,12 +55,12 @@
   void drainVm(const std::string &Vm, const HttpRequest &Request,
                const HttpResponder &Respond);
   /// Sends the request to the owner of \p Domain and passes its answer on.
-  void forward(const std::string &Domain, const HttpRequest &Request,
-               HttpResponder Respond);
-  void forwardTo(const std::string &Http, const HttpRequest &Request,
-                 HttpResponder Respond);
+  void forwardToOwner(const std::string &Domain, const HttpRequest &Request,
+                      HttpResponder Respond);
+  void forwardToDaemon(const std::string &Http, const HttpRequest &Request,
+                       HttpResponder Respond);
 
-  DaemonParts &Parts_;
+  DaemonComponents &Components_;
   RequestFrontend &Frontend_;
   Metrics &Metrics_;
 };
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 
 #include "Api.h"
-#include "DaemonParts.h"
+#include "DaemonComponents.h"
 #include "Metrics.h"
 #include "TablelessTakeover.h"
 #include "cuminroad/net/PeerSocket.h"
@@ -15,77 +15,82 @@
 
 namespace {
 
-constexpr milliseconds SweepInterval{10};
-constexpr milliseconds ExpireInterval{1000};
+constexpr milliseconds RequestExpiryInterval{10};
+constexpr milliseconds ResponseExpiryInterval{1000};
 /// Delay of a request for grants, which lets several causes share it, and the
 /// least time between two: it bounds the control traffic of an overload.
-constexpr milliseconds AskDelay{5};
-constexpr milliseconds AskInterval{100};
-constexpr milliseconds StandbyListPoll{10000};
+constexpr milliseconds GrantRequestDelay{5};
+constexpr milliseconds MinGrantRequestInterval{100};
+constexpr milliseconds VmListPollInterval{10000};
 /// Time for the last message to a peer to leave.
-constexpr milliseconds PartingTime{200};
+constexpr milliseconds FinalMessageDelay{200};
 
 class EntryDaemon final : public Daemon {
 public:
   explicit EntryDaemon(const Settings &Config);
   ~EntryDaemon() override;
-  void run() override { Parts_.Control->run(); }
+  void run() override { Components_.ControlLoop->run(); }
   void stop() override {
-    Parts_.Control->post([this] { beginStop(); });
+    Components_.ControlLoop->post([this] { beginShutdown(); });
   }
 
 private:
-  void follow();
-  void ownershipTaken(bool Inherited);
-  void ownershipLost();
-  void askOwnerSoon();
-  void askOwner();
-  void askRegularly();
-  void sweepRegularly();
-  void expireRegularly();
-  void readListRegularly();
-  void received(const std::string &Bytes);
-  void take(const GrantRequest &Message);
-  void take(const GrantReply &Message);
-  void take(const GrantNotice &Message);
-  void sendTo(const std::string &Address, const PeerMessage &Message);
-  void sendNotices();
-  void sendNotice(const std::string &Name);
-  void beginStop();
-  void finishStop();
-
-  DaemonParts Parts_;
+  void startComponents();
+  void startOwner(bool Inherited);
+  void stopOwner();
+  void scheduleGrantRequest();
+  void requestGrants();
+  void requestGrantsPeriodically();
+  void endExpiredRequestsPeriodically();
+  void dropExpiredResponsesPeriodically();
+  void pollVmListPeriodically();
+  void handlePeerMessage(const std::string &Bytes);
+  void handle(const GrantRequest &Message);
+  void handle(const GrantReply &Message);
+  void handle(const GrantNotice &Message);
+  void sendToPeer(const std::string &Address, const PeerMessage &Message);
+  void sendGrantNotices();
+  void sendGrantNotice(const std::string &Name);
+  void beginShutdown();
+  void finishShutdown();
+
+  DaemonComponents Components_;
   Metrics Metrics_;
   RequestFrontend Frontend_;
   Api Api_;
   TablelessTakeover Takeover_;
-  std::unique_ptr<PeerSocket> Peers_;
+  std::unique_ptr<PeerSocket> PeerSocket_;
   std::unique_ptr<HttpServer> Server_;
-  std::thread Drainer_;
-  std::atomic<bool> Stopping_{false};
-  std::atomic<bool> AskPlanned_{false};
-  TimePoint AskedAt_{};
+  std::thread DrainThread_;
+  std::atomic<bool> ShuttingDown_{false};
+  std::atomic<bool> GrantRequestScheduled_{false};
+  TimePoint LastGrantRequestAt_{};
   std::uint64_t PeerBytesReceived_ = 0;
-  bool ReadyTold_ = false;
+  bool ReadyReported_ = false;
 };
 
 EntryDaemon::EntryDaemon(const Settings &Config)
-    : Parts_(Config),
-      Frontend_(RequestFrontendContext{Parts_.Config, Parts_.Self, Parts_.Time,
-                                       Parts_.Events, *Parts_.Control,
-                                       *Parts_.TrafficClient, Parts_.Contracts,
-                                       Parts_.Members, Parts_.Claims},
-                [this] { askOwnerSoon(); }),
-      Api_(Parts_, Frontend_, Metrics_), Takeover_(Parts_) {
+    : Components_(Config),
+      Frontend_(
+          RequestFrontendContext{
+              Components_.Config, Components_.Self, Components_.MonotonicClock,
+              Components_.Events, *Components_.ControlLoop,
+              *Components_.TrafficClient, Components_.Contracts,
+              Components_.Members, Components_.IdempotencyKeys},
+          [this] { scheduleGrantRequest(); }),
+      Api_(Components_, Frontend_, Metrics_), Takeover_(Components_) {
   Frontend_.OnStartWait = [this](double Wait) {
     Metrics_.observeStartWait(Wait);
   };
-  Api_.IsReady = [this] { return Parts_.Keeper.ready() && !Stopping_; };
-  Api_.Peers = [this] {
-    return PeerTraffic{Peers_->bytesSent(), PeerBytesReceived_};
+  Api_.IsReady = [this] {
+    return Components_.SharedConfig.ready() && !ShuttingDown_;
   };
-  Peers_ = openPeerSocket(Config.Peer.text(), [this](std::string Bytes) {
-    Parts_.Control->post([this, Bytes = std::move(Bytes)] { received(Bytes); });
+  Api_.GetPeerTraffic = [this] {
+    return PeerTraffic{PeerSocket_->bytesSent(), PeerBytesReceived_};
+  };
+  PeerSocket_ = openPeerSocket(Config.Peer.text(), [this](std::string Bytes) {
+    Components_.ControlLoop->post(
+        [this, Bytes = std::move(Bytes)] { handlePeerMessage(Bytes); });
   });
   HttpServerOptions Options;
   Options.Address = Config.Http.Address;
@@ -95,217 +100,231 @@
       Options, [this](HttpRequest Request, HttpResponder Respond) {
         Api_.handle(std::move(Request), std::move(Respond));
       });
-  Parts_.Events.record(EventId::DaemonStarted, Parts_.Self.Name,
-                       Parts_.Self.Http);
-  follow();
+  Components_.Events.record(EventId::DaemonStarted, Components_.Self.Name,
+                            Components_.Self.Http);
+  startComponents();
 }
 
 EntryDaemon::~EntryDaemon() {
-  if (Drainer_.joinable())
-    Drainer_.join();
+  if (DrainThread_.joinable())
+    DrainThread_.join();
   // Whoever calls into the front door ends first.
   Server_.reset();
-  Peers_.reset();
-  Parts_.TrafficClient.reset();
-  Parts_.ControlClient.reset();
+  PeerSocket_.reset();
+  Components_.TrafficClient.reset();
+  Components_.ControlClient.reset();
 }
 
-void EntryDaemon::follow() {
-  Parts_.Rows.OnReachable = [this](bool Reachable) {
-    Parts_.Events.record(Reachable ? EventId::PlatformBack
-                                   : EventId::PlatformLost,
-                         Parts_.Self.Name);
+void EntryDaemon::startComponents() {
+  Components_.RetryingTable.OnReachable = [this](bool Reachable) {
+    Components_.Events.record(Reachable ? EventId::PlatformBack
+                                        : EventId::PlatformLost,
+                              Components_.Self.Name);
+  };
+  Components_.SharedConfig.OnChanged = [this] {
+    if (!std::exchange(ReadyReported_, true))
+      Components_.Events.record(EventId::DaemonReady, Components_.Self.Name);
+    if (Components_.LocalOwner)
+      Components_.LocalOwner->configChanged();
   };
-  Parts_.Keeper.OnChanged = [this] {
-    if (!std::exchange(ReadyTold_, true))
-      Parts_.Events.record(EventId::DaemonReady, Parts_.Self.Name);
-    if (Parts_.Domain)
-      Parts_.Domain->configChanged();
+  Components_.SharedConfig.OnReplaced = [this] { beginShutdown(); };
+  Components_.DomainOwnership.OnTaken = [this](bool Inherited) {
+    startOwner(Inherited);
   };
-  Parts_.Keeper.OnReplaced = [this] { beginStop(); };
-  Parts_.Owners.OnTaken = [this](bool Inherited) { ownershipTaken(Inherited); };
-  Parts_.Owners.OnLost = [this] { ownershipLost(); };
-  Parts_.Control->post([this] {
-    Parts_.Keeper.start();
-    Parts_.Owners.start();
-    askRegularly();
-    sweepRegularly();
-    expireRegularly();
-    readListRegularly();
+  Components_.DomainOwnership.OnLost = [this] { stopOwner(); };
+  Components_.ControlLoop->post([this] {
+    Components_.SharedConfig.start();
+    Components_.DomainOwnership.start();
+    requestGrantsPeriodically();
+    endExpiredRequestsPeriodically();
+    dropExpiredResponsesPeriodically();
+    pollVmListPeriodically();
     Takeover_.start();
   });
 }
 
-void EntryDaemon::ownershipTaken(bool Inherited) {
-  OwnerTerm Term{Parts_.Owners.owner().Epoch, Parts_.Owners.epochKey(),
-                 Parts_.Owners.epochRowVersion(), Inherited};
-  Parts_.Domain = std::make_shared<DomainOwner>(
-      OwnerContext{Parts_.Config, Parts_.Self, Parts_.Time, Parts_.Events,
-                   *Parts_.Control, *Parts_.ControlClient, Parts_.EndlessRows,
-                   *Parts_.List, Parts_.Keeper, Parts_.LastListing},
+void EntryDaemon::startOwner(bool Inherited) {
+  OwnerTerm Term{Components_.DomainOwnership.owner().Epoch,
+                 Components_.DomainOwnership.epochKey(),
+                 Components_.DomainOwnership.epochRowVersion(), Inherited};
+  Components_.LocalOwner = std::make_shared<DomainOwner>(
+      OwnerContext{Components_.Config, Components_.Self,
+                   Components_.MonotonicClock, Components_.Events,
+                   *Components_.ControlLoop, *Components_.ControlClient,
+                   Components_.UnlimitedRetryTable, *Components_.VmListSource,
+                   Components_.SharedConfig, Components_.LastListing},
       Term);
-  Parts_.Domain->OnSuperseded = [this](std::int64_t Epoch) {
+  Components_.LocalOwner->OnSuperseded = [this](std::int64_t Epoch) {
     // Later, since the owner that calls is ended by it.
-    Parts_.Control->post([this, Epoch] { Parts_.Owners.supersede(Epoch); });
+    Components_.ControlLoop->post(
+        [this, Epoch] { Components_.DomainOwnership.supersede(Epoch); });
   };
-  Parts_.Domain->OnGrantsChanged = [this] { sendNotices(); };
-  Parts_.Domain->OnGrantRenewalWanted =
+  Components_.LocalOwner->OnGrantsChanged = [this] { sendGrantNotices(); };
+  Components_.LocalOwner->OnGrantRenewalWanted =
       [this](const std::vector<std::string> &Names) {
         for (const std::string &Name : Names)
-          sendNotice(Name);
+          sendGrantNotice(Name);
       };
-  Parts_.Domain->OnEntryVmsGone =
+  Components_.LocalOwner->OnEntryVmsGone =
       [this](const std::vector<std::string> &Names) {
-        Parts_.Keeper.removeMembers(Names);
+        Components_.SharedConfig.removeMembers(Names);
       };
-  Parts_.Domain->start();
-  sendNotices();
+  Components_.LocalOwner->start();
+  sendGrantNotices();
 }
 
-void EntryDaemon::ownershipLost() {
-  if (!Parts_.Domain)
+void EntryDaemon::stopOwner() {
+  if (!Components_.LocalOwner)
     return;
-  Parts_.Domain->close();
-  Parts_.Domain.reset();
+  Components_.LocalOwner->close();
+  Components_.LocalOwner.reset();
 }
 
-void EntryDaemon::sendNotices() {
-  for (const Identity &Member : Parts_.Members.inDomain(Parts_.Self.Domain))
-    sendNotice(Member.Name);
+void EntryDaemon::sendGrantNotices() {
+  for (const Identity &Member :
+       Components_.Members.inDomain(Components_.Self.Domain))
+    sendGrantNotice(Member.Name);
 }
 
-void EntryDaemon::sendNotice(const std::string &Name) {
-  if (Name == Parts_.Self.Name)
-    return askOwnerSoon();
-  const auto Member = Parts_.Members.find(Name);
+void EntryDaemon::sendGrantNotice(const std::string &Name) {
+  if (Name == Components_.Self.Name)
+    return scheduleGrantRequest();
+  const auto Member = Components_.Members.find(Name);
   if (!Member)
     return;
-  sendTo(Member->Peer,
-         GrantNotice{Parts_.Self.Name, Parts_.Owners.owner().Epoch,
-                     Parts_.Self.Peer, Parts_.Self.Http,
-                     Parts_.Events.logicalClock().next()});
+  sendToPeer(Member->Peer,
+             GrantNotice{Components_.Self.Name,
+                         Components_.DomainOwnership.owner().Epoch,
+                         Components_.Self.Peer, Components_.Self.Http,
+                         Components_.Events.logicalClock().next()});
 }
 
-void EntryDaemon::sendTo(const std::string &Address,
-                         const PeerMessage &Message) {
-  Peers_->send(Parts_.Config.reachable(Address), encode(Message));
+void EntryDaemon::sendToPeer(const std::string &Address,
+                             const PeerMessage &Message) {
+  PeerSocket_->send(Components_.Config.reachable(Address), encode(Message));
 }
 
-void EntryDaemon::askOwnerSoon() {
-  if (AskPlanned_.exchange(true))
+void EntryDaemon::scheduleGrantRequest() {
+  if (GrantRequestScheduled_.exchange(true))
     return;
-  Parts_.Control->post([this] {
-    const auto Since =
-        std::chrono::duration_cast<milliseconds>(Parts_.Time.now() - AskedAt_);
-    Parts_.Control->after(std::max(AskInterval - Since, AskDelay), [this] {
-      AskPlanned_ = false;
-      askOwner();
-    });
+  Components_.ControlLoop->post([this] {
+    const auto Elapsed = std::chrono::duration_cast<milliseconds>(
+        Components_.MonotonicClock.now() - LastGrantRequestAt_);
+    Components_.ControlLoop->after(
+        std::max(MinGrantRequestInterval - Elapsed, GrantRequestDelay), [this] {
+          GrantRequestScheduled_ = false;
+          requestGrants();
+        });
   });
 }
 
-void EntryDaemon::askOwner() {
-  const OwnerInfo &Owner = Parts_.Owners.owner();
-  if (!Parts_.Domain && Owner.Peer.empty())
+void EntryDaemon::requestGrants() {
+  const OwnerInfo &Owner = Components_.DomainOwnership.owner();
+  if (!Components_.LocalOwner && Owner.Peer.empty())
     return;
-  AskedAt_ = Parts_.Time.now();
+  LastGrantRequestAt_ = Components_.MonotonicClock.now();
   GrantRequest Request;
-  Request.From = Parts_.Self.Name;
-  Request.Incarnation = Parts_.Self.Incarnation;
-  Request.ReplyTo = Parts_.Self.Peer;
-  Request.Stamp = Parts_.Events.logicalClock().next();
+  Request.From = Components_.Self.Name;
+  Request.Incarnation = Components_.Self.Incarnation;
+  Request.ReplyTo = Components_.Self.Peer;
+  Request.Stamp = Components_.Events.logicalClock().next();
   Frontend_.fillGrantRequest(Request);
-  if (Parts_.Domain)
-    take(Parts_.Domain->handleGrantRequest(Request));
+  if (Components_.LocalOwner)
+    handle(Components_.LocalOwner->handleGrantRequest(Request));
   else
-    sendTo(Owner.Peer, Request);
+    sendToPeer(Owner.Peer, Request);
 }
 
-void EntryDaemon::askRegularly() {
-  askOwner();
-  Parts_.Control->after(Parts_.Config.Times.GrantRenewal,
-                        [this] { askRegularly(); });
+void EntryDaemon::requestGrantsPeriodically() {
+  requestGrants();
+  Components_.ControlLoop->after(Components_.Config.Times.GrantRenewal,
+                                 [this] { requestGrantsPeriodically(); });
 }
 
-void EntryDaemon::sweepRegularly() {
+void EntryDaemon::endExpiredRequestsPeriodically() {
   Frontend_.endExpiredRequests();
-  Parts_.Control->after(SweepInterval, [this] { sweepRegularly(); });
+  Components_.ControlLoop->after(RequestExpiryInterval,
+                                 [this] { endExpiredRequestsPeriodically(); });
 }
 
-void EntryDaemon::expireRegularly() {
+void EntryDaemon::dropExpiredResponsesPeriodically() {
   Frontend_.dropExpiredResponses();
-  Parts_.Control->after(ExpireInterval, [this] { expireRegularly(); });
+  Components_.ControlLoop->after(
+      ResponseExpiryInterval, [this] { dropExpiredResponsesPeriodically(); });
 }
 
-void EntryDaemon::readListRegularly() {
-  Parts_.List->read(Parts_.Self.Domain, [this](Result<VmListing> Listing) {
-    if (Listing)
-      Parts_.LastListing = std::move(*Listing);
-    Parts_.Control->after(StandbyListPoll, [this] { readListRegularly(); });
-  });
+void EntryDaemon::pollVmListPeriodically() {
+  Components_.VmListSource->read(
+      Components_.Self.Domain, [this](Result<VmListing> Listing) {
+        if (Listing)
+          Components_.LastListing = std::move(*Listing);
+        Components_.ControlLoop->after(VmListPollInterval,
+                                       [this] { pollVmListPeriodically(); });
+      });
 }
 
-void EntryDaemon::received(const std::string &Bytes) {
+void EntryDaemon::handlePeerMessage(const std::string &Bytes) {
   PeerBytesReceived_ += Bytes.size();
   const auto Message = decodePeerMessage(Bytes);
   if (!Message) {
-    Parts_.Events.record(EventId::PeerMessageRejected, Parts_.Self.Name,
-                         Message.error().text());
+    Components_.Events.record(EventId::PeerMessageRejected,
+                              Components_.Self.Name, Message.error().text());
     return;
   }
   std::visit(
       [this](const auto &Typed) {
-        Parts_.Events.logicalClock().observe(Typed.Stamp);
-        take(Typed);
+        Components_.Events.logicalClock().observe(Typed.Stamp);
+        handle(Typed);
       },
       *Message);
 }
 
-void EntryDaemon::take(const GrantRequest &Message) {
-  if (!Parts_.Domain)
+void EntryDaemon::handle(const GrantRequest &Message) {
+  if (!Components_.LocalOwner)
     return;
-  GrantReply Reply = Parts_.Domain->handleGrantRequest(Message);
+  GrantReply Reply = Components_.LocalOwner->handleGrantRequest(Message);
   if (Reply.Seq == 0)
     return;
-  Reply.Stamp = Parts_.Events.logicalClock().next();
-  sendTo(Message.ReplyTo, Reply);
+  Reply.Stamp = Components_.Events.logicalClock().next();
+  sendToPeer(Message.ReplyTo, Reply);
 }
 
-void EntryDaemon::take(const GrantReply &Message) {
-  if (Message.Epoch < Parts_.Owners.owner().Epoch)
+void EntryDaemon::handle(const GrantReply &Message) {
+  if (Message.Epoch < Components_.DomainOwnership.owner().Epoch)
     return;
   Takeover_.noteOwner();
   Frontend_.applyGrantReply(Message);
 }
 
-void EntryDaemon::take(const GrantNotice &Message) {
+void EntryDaemon::handle(const GrantNotice &Message) {
   Takeover_.noteOwner();
-  Parts_.Owners.observe(OwnerInfo{Message.Owner, "", Message.Http,
-                                  Message.Address, Message.Epoch});
-  askOwnerSoon();
+  Components_.DomainOwnership.observe(OwnerInfo{
+      Message.Owner, "", Message.Http, Message.Address, Message.Epoch});
+  scheduleGrantRequest();
 }
 
-void EntryDaemon::beginStop() {
-  if (Stopping_.exchange(true))
+void EntryDaemon::beginShutdown() {
+  if (ShuttingDown_.exchange(true))
     return;
-  Parts_.Events.record(EventId::DaemonStopping, Parts_.Self.Name);
-  Parts_.Owners.release([] {});
+  Components_.Events.record(EventId::DaemonStopping, Components_.Self.Name);
+  Components_.DomainOwnership.release([] {});
   Server_->announceClose();
-  Parts_.Control->after(Parts_.Config.Times.ShutdownLinger, [this] {
-    Drainer_ = std::thread([this] {
-      Server_->drain();
-      Parts_.Control->post([this] { finishStop(); });
-    });
-  });
+  Components_.ControlLoop->after(
+      Components_.Config.Times.ShutdownLinger, [this] {
+        DrainThread_ = std::thread([this] {
+          Server_->drain();
+          Components_.ControlLoop->post([this] { finishShutdown(); });
+        });
+      });
 }
 
-void EntryDaemon::finishStop() {
+void EntryDaemon::finishShutdown() {
   // Nothing is in flight any more: the report gives all grants back.
-  askOwner();
-  Parts_.Keeper.leave([this] {
-    Parts_.Control->after(PartingTime, [this] {
-      Parts_.Events.record(EventId::DaemonStopped, Parts_.Self.Name);
-      Parts_.Control->stop();
+  requestGrants();
+  Components_.SharedConfig.leave([this] {
+    Components_.ControlLoop->after(FinalMessageDelay, [this] {
+      Components_.Events.record(EventId::DaemonStopped, Components_.Self.Name);
+      Components_.ControlLoop->stop();
     });
   });
 }
--- a/packages/daemon/src/DaemonParts.h
+++ b/packages/daemon/src/DaemonComponents.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_SRC_DAEMONPARTS_H
-#define CUMINROAD_DAEMON_SRC_DAEMONPARTS_H
+#ifndef CUMINROAD_DAEMON_SRC_DAEMONCOMPONENTS_H
+#define CUMINROAD_DAEMON_SRC_DAEMONCOMPONENTS_H
 
 #include <limits>
 #include <memory>
@@ -25,31 +25,31 @@
 
 /// What a daemon is made of, in the order in which the parts depend on each
 /// other.
-struct DaemonParts {
-  explicit DaemonParts(const Settings &Settings);
+struct DaemonComponents {
+  explicit DaemonComponents(const Settings &Settings);
 
   /// Tries for a write whose caller waits; some ten seconds.
-  static constexpr int CallerTries = 8;
-  static constexpr int EndlessTries = std::numeric_limits<int>::max();
+  static constexpr int CallerWriteAttempts = 8;
+  static constexpr int UnlimitedWriteAttempts = std::numeric_limits<int>::max();
 
   Settings Config;
   Identity Self;
-  SteadyClock Time;
+  SteadyClock MonotonicClock;
   EventLog Events;
-  std::unique_ptr<RunnableLoop> Control;
+  std::unique_ptr<RunnableLoop> ControlLoop;
   std::unique_ptr<HttpClient> TrafficClient;
   std::unique_ptr<HttpClient> ControlClient;
-  HttpTable PlainTable;
-  ResolvingTable Rows;
-  ResolvingTable EndlessRows;
-  std::unique_ptr<VmList> List;
+  HttpTable PlatformTable;
+  ResolvingTable RetryingTable;
+  ResolvingTable UnlimitedRetryTable;
+  std::unique_ptr<VmList> VmListSource;
   ContractBook Contracts;
   MemberBook Members;
-  ConfigKeeper Keeper;
-  Ownership Owners;
-  IdempotencyKeyStore Claims;
+  ConfigKeeper SharedConfig;
+  Ownership DomainOwnership;
+  IdempotencyKeyStore IdempotencyKeys;
   /// Set while this daemon owns its domain.
-  std::shared_ptr<DomainOwner> Domain;
+  std::shared_ptr<DomainOwner> LocalOwner;
   VmListing LastListing;
 };
 
--- a/packages/daemon/src/HttpReplies.cpp
+++ b/packages/daemon/src/HttpReplies.cpp
@@ -49,8 +49,8 @@
 
 } // namespace
 
-std::string_view outcomeName(Outcome What) {
-  switch (What) {
+std::string_view outcomeName(Outcome RequestOutcome) {
+  switch (RequestOutcome) {
   case Outcome::Done:
     return "done";
   case Outcome::NotRun:
@@ -73,12 +73,14 @@
   return jsonReply(statusOf(Fault.Code), {{"error", errorBody(Fault)}});
 }
 
-HttpResponse outcomeReply(Outcome What, const Error &Why) {
-  const int Status = What == Outcome::NotRun ? statusOf(Why.Code) : 504;
-  HttpResponse Out = jsonReply(
-      Status, {{"outcome", outcomeName(What)}, {"error", errorBody(Why)}});
-  Out.Headers.emplace_back("X-Outcome", outcomeName(What));
-  return Out;
+HttpResponse outcomeReply(Outcome RequestOutcome, const Error &Cause) {
+  const int Status =
+      RequestOutcome == Outcome::NotRun ? statusOf(Cause.Code) : 504;
+  HttpResponse Response =
+      jsonReply(Status, {{"outcome", outcomeName(RequestOutcome)},
+                         {"error", errorBody(Cause)}});
+  Response.Headers.emplace_back("X-Outcome", outcomeName(RequestOutcome));
+  return Response;
 }
 
 } // namespace cuminroad
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -35,12 +35,12 @@
       .Set(Value);
 }
 
-std::string Metrics::render(const DaemonParts &Parts,
+std::string Metrics::render(const DaemonComponents &Components,
                             const RequestFrontend &Frontend,
-                            const PeerTraffic &Peers) {
+                            const PeerTraffic &PeerMessages) {
   const RequestOutcomeCounts Counts = Frontend.outcomeCounts();
-  const TableUse Use = Parts.PlainTable.use();
-  const HttpTraffic Traffic = Parts.ControlClient->traffic();
+  const TableUse Use = Components.PlatformTable.use();
+  const HttpTraffic Traffic = Components.ControlClient->traffic();
   const auto Number = [](auto Value) { return static_cast<double>(Value); };
   setGauge("cuminroad_requests_done_total", "Requests answered whole.",
            Number(Counts.Done));
@@ -54,13 +54,13 @@
   setGauge("cuminroad_requests_waiting", "Requests that wait for a slot.",
            Number(Frontend.waitingRequests()));
   setGauge("cuminroad_owner", "1 while this daemon owns its failure domain.",
-           Parts.Domain ? 1.0 : 0.0);
+           Components.LocalOwner ? 1.0 : 0.0);
   setGauge("cuminroad_owner_epoch", "The newest epoch known.",
-           Number(Parts.Owners.owner().Epoch));
+           Number(Components.DomainOwnership.owner().Epoch));
   setGauge("cuminroad_store_reachable", "1 while the platform's table answers.",
-           Parts.Rows.reachable() ? 1.0 : 0.0);
+           Components.RetryingTable.reachable() ? 1.0 : 0.0);
   setGauge("cuminroad_config_version", "Version of the configuration applied.",
-           Number(Parts.Keeper.appliedVersion()));
+           Number(Components.SharedConfig.appliedVersion()));
   setGauge("cuminroad_table_writes_total", "Transactions sent to the table.",
            Number(Use.Writes));
   setGauge("cuminroad_table_reads_total", "Reads sent to the table.",
@@ -71,13 +71,14 @@
            "Bytes of control calls over HTTP received.",
            Number(Traffic.BytesReceived));
   setGauge("cuminroad_peer_sent_bytes_total",
-           "Bytes of messages sent to other daemons.", Number(Peers.Sent));
+           "Bytes of messages sent to other daemons.",
+           Number(PeerMessages.Sent));
   setGauge("cuminroad_peer_received_bytes_total",
            "Bytes of messages received from other daemons.",
-           Number(Peers.Received));
-  if (Parts.Domain)
+           Number(PeerMessages.Received));
+  if (Components.LocalOwner)
     setGauge("cuminroad_jobs", "Unfinished jobs of the domain.",
-             Number(Parts.Domain->jobs().size()));
+             Number(Components.LocalOwner->jobs().size()));
   return prometheus::TextSerializer().Serialize(Registry_.Collect());
 }
 
--- a/packages/daemon/src/Metrics.h
+++ b/packages/daemon/src/Metrics.h
@@ -6,7 +6,7 @@
 #include <prometheus/histogram.h>
 #include <prometheus/registry.h>
 
-#include "DaemonParts.h"
+#include "DaemonComponents.h"
 
 namespace cuminroad {
 
@@ -23,8 +23,9 @@
   /// Notes how long a request waited for its slot.
   void observeStartWait(double Milliseconds);
   /// \returns the text exposition of all metrics. Call on the control thread.
-  std::string render(const DaemonParts &Parts, const RequestFrontend &Frontend,
-                     const PeerTraffic &Peers);
+  std::string render(const DaemonComponents &Components,
+                     const RequestFrontend &Frontend,
+                     const PeerTraffic &PeerMessages);
 
 private:
   void setGauge(const char *Name, const char *Help, double Value);
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TablelessTakeover::TablelessTakeover(DaemonParts &Parts) : Parts_(Parts) {}
+TablelessTakeover::TablelessTakeover(DaemonComponents &Parts) : Parts_(Parts) {}
 
 void TablelessTakeover::start() {
   noteOwner();
@@ -25,7 +25,7 @@
 }
 
 void TablelessTakeover::checkSoon() {
-  Parts_.Control->after(CheckInterval, [this] { check(); });
+  Parts_.ControlLoop->after(CheckInterval, [this] { check(); });
 }
 
 milliseconds TablelessTakeover::patience() const {
@@ -33,9 +33,9 @@
 }
 
 bool TablelessTakeover::due() const {
-  return !Parts_.Owners.mine() && !Parts_.Rows.reachable() &&
+  return !Parts_.DomainOwnership.mine() && !Parts_.RetryingTable.reachable() &&
          !Parts_.LastListing.Vms.empty() &&
-         Parts_.Time.now() - HeardAt_ > patience();
+         Parts_.MonotonicClock.now() - HeardAt_ > patience();
 }
 
 void TablelessTakeover::check() {
@@ -53,7 +53,7 @@
   Call.Url = Parts_.Config.reachable(Vm.Url + "/holder");
   Call.Timeout = AskTimeout;
   Parts_.ControlClient->send(std::move(Call), [this, Round](HttpResult Answer) {
-    Parts_.Control->post(
+    Parts_.ControlLoop->post(
         [this, Round, Answer = std::move(Answer)] { take(Answer, Round); });
   });
 }
@@ -77,10 +77,10 @@
 void TablelessTakeover::conclude(const Poll &Round) {
   const bool Majority = Round.Stale * 2 > Parts_.LastListing.Vms.size();
   if (due() && Majority && Round.Fresh == 0) {
-    OwnerInfo Last = Parts_.Owners.owner();
+    OwnerInfo Last = Parts_.DomainOwnership.owner();
     Last.Epoch = std::max(Last.Epoch, Round.Epoch);
-    Parts_.Owners.observe(Last);
-    Parts_.Owners.takeWithoutTable();
+    Parts_.DomainOwnership.observe(Last);
+    Parts_.DomainOwnership.takeWithoutTable();
   }
   checkSoon();
 }
--- a/packages/daemon/src/TablelessTakeover.h
+++ b/packages/daemon/src/TablelessTakeover.h
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "DaemonParts.h"
+#include "DaemonComponents.h"
 
 namespace cuminroad {
 
@@ -13,10 +13,10 @@
 /// healthy owner. Runs on the control thread.
 class TablelessTakeover {
 public:
-  explicit TablelessTakeover(DaemonParts &Parts);
+  explicit TablelessTakeover(DaemonComponents &Parts);
   void start();
   /// The owner was heard of.
-  void noteOwner() { HeardAt_ = Parts_.Time.now(); }
+  void noteOwner() { HeardAt_ = Parts_.MonotonicClock.now(); }
 
 private:
   /// What the VMs said in one round.
@@ -35,7 +35,7 @@
   void take(const HttpResult &Answer, const std::shared_ptr<Poll> &Round);
   void conclude(const Poll &Round);
 
-  DaemonParts &Parts_;
+  DaemonComponents &Parts_;
   TimePoint HeardAt_{};
 };
 
