--- a/packages/daemon/include/cuminroad/daemon/Daemon.h
+++ b/packages/daemon/include/cuminroad/daemon/Daemon.h
@@ -7,18 +7,19 @@
 
 namespace cuminroad {
 
-/// The daemon of an entry VM: front door, and in one daemon of each failure
-/// domain at a time the domain's owner.
+/// The daemon of an entry VM. It runs the frontend for callers' requests and
+/// the HTTP API; one daemon of each failure domain at a time also runs the
+/// domain's owner, which schedules its jobs.
 class Daemon {
 public:
   virtual ~Daemon() = default;
-  /// Serves until stop() has run to its end.
+  /// Serves until the shutdown that stop() begins is complete.
   virtual void run() = 0;
   /// Begins a graceful shutdown; safe from any thread.
   virtual void stop() = 0;
 };
 
-/// Opens the daemon's ports; throws std::exception where that fails.
+/// Creates a daemon and opens its ports; throws std::exception if that fails.
 std::unique_ptr<Daemon> makeDaemon(const Settings &Config);
 
 } // namespace cuminroad
--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -23,7 +23,7 @@
 
 namespace cuminroad {
 
-/// What an owner works with; all of it outlives the owner.
+/// Dependencies of a DomainOwner. Every referenced object must outlive it.
 struct OwnerContext {
   const Settings &Config;
   const Identity &Self;
@@ -31,28 +31,30 @@
   EventLog &Events;
   Loop &ControlLoop;
   HttpClient &Client;
-  /// Resolves lost replies without giving up.
+  /// Must retry a transaction whose reply was lost until its outcome is known.
   Table &PlatformTable;
   VmList &VmListSource;
   const ConfigKeeper &SharedConfig;
-  /// The VMs as last listed; used where the platform can't be reached.
+  /// The last VM list that this daemon read. An owner that was chosen while the
+  /// table was unreachable starts from it.
   VmListing LastListing;
 };
 
-/// Under which epoch a domain is owned.
+/// One term of ownership of a failure domain, identified by its epoch.
 struct OwnerTerm {
   std::int64_t Epoch = 0;
   std::string EpochKey;
-  /// Version of the epoch row; 0 for an owner chosen without the table, which
-  /// takes no new jobs.
+  /// Version of the epoch row in the table. 0 for an owner that was chosen
+  /// while the table was unreachable; such an owner accepts no new jobs.
   std::int64_t EpochVersion = 0;
-  /// Whether an earlier owner may have left tasks and grants.
+  /// Whether tasks and grants of an earlier owner may still be in effect.
   bool HasPredecessor = false;
 };
 
-/// Schedules one failure domain for one term of ownership: holds its VMs,
-/// decides by the scheduler, keeps the jobs' rows, and grants slots to the
-/// domain's front doors. Runs on the control thread.
+/// Schedules one failure domain for one term of ownership: claims the domain's
+/// VMs, carries out the scheduler's commands, keeps the rows of the jobs, and
+/// grants request slots to the frontends of the domain's daemons. Runs on the
+/// control thread.
 class DomainOwner final : public VmSessionListener,
                           public ShareUse,
                           public std::enable_shared_from_this<DomainOwner> {
@@ -62,31 +64,35 @@
   DomainOwner(const OwnerContext &Context, OwnerTerm Term);
 
   void start();
-  /// Stops all work at once; no command leaves after this.
+  /// Stops immediately; no command is sent afterwards.
   void close();
-  /// Takes in changed contracts and members.
+  /// Applies changed contracts and members of the shared configuration.
   void configChanged();
 
   void submit(JobSpec Spec, SubmitCallback Done);
-  /// Cancels an unfinished job; \p Done comes when that is in the table.
+  /// Cancels an unfinished job. \p Done is called once the cancellation is
+  /// stored in the table.
   void cancel(const std::string &Job, std::function<void(Result<void>)> Done);
-  /// Gives a VM no new work.
+  /// Stops placing new work on a VM.
   void drain(const std::string &Vm);
   GrantReply handleGrantRequest(const GrantRequest &Request);
 
   std::optional<JobView> job(const std::string &Id) const;
   std::vector<JobView> jobs() const;
   std::vector<VmView> vms() const;
-  /// Whether the jobs of earlier owners are known.
+  /// Whether the unfinished jobs have been read from the table. Until then no
+  /// job is accepted or scheduled.
   bool jobsLoaded() const { return JobsLoaded_; }
   const OwnerTerm &term() const { return Term_; }
-  /// Called when another daemon holds this term's epoch or a newer one.
+  /// Called when a VM or the table shows that another daemon holds this term's
+  /// epoch or a newer one.
   std::function<void(std::int64_t Epoch)> OnSuperseded;
-  /// Called when the grants of all front doors should be renewed at once.
+  /// Called when the frontends of all the domain's daemons should renew their
+  /// grants now.
   std::function<void()> OnGrantsChanged;
-  /// Called with the daemons whose grants should be renewed at once.
+  /// Called with the names of the daemons that should renew their grants now.
   std::function<void(const std::vector<std::string> &)> OnGrantRenewalWanted;
-  /// Called with the names of daemons whose VM is gone.
+  /// Called with the names of the daemons whose entry VM is finally gone.
   std::function<void(const std::vector<std::string> &)> OnEntryVmsGone;
 
   void onVmClaimed(const std::string &Vm,
@@ -112,8 +118,9 @@
     ListedVm ListEntry;
     std::shared_ptr<VmSession> Session;
     bool Leaving = false;
-    /// Claimed before the jobs were loaded.
+    /// Tasks reported by a claim that succeeded before the jobs were loaded.
     std::optional<std::vector<InventoryTask>> Inventory;
+    /// Tasks that ended before the jobs were loaded.
     std::vector<EndedTask> EndedTasks;
   };
 
@@ -130,7 +137,8 @@
   void applyTaskEnd(const std::string &Vm, const EndedTask &Task);
   void updateVmSlots(const std::string &Vm);
   void applyCustomerLimits();
-  /// What the VMs said of requests whose daemons are not heard of.
+  /// Requests in flight on the VMs that were sent by daemons which have not yet
+  /// reported their grants to this owner. Collected from all VMs in one round.
   struct UntrackedRequests {
     std::size_t PendingReplies = 0;
     bool AllVmsReplied = true;
@@ -150,12 +158,14 @@
   std::shared_ptr<JobStore> Jobs_;
   std::shared_ptr<ShareKeeper> Shares_;
   std::map<std::string, KnownVm> Vms_;
+  /// Incremented when a VM is added to the list of VMs that frontends receive.
   std::int64_t VmTableVersion_ = 0;
   bool VmListRead_ = false;
   bool JobsLoaded_ = false;
   bool Closed_ = false;
   std::map<std::string, ContractTerms> Contracts_;
-  /// Starts that wait until they are in the table.
+  /// Tasks whose start is being written to the table; the start command is sent
+  /// once the write has committed.
   std::set<TaskAttempt> StartsBeingRecorded_;
 };
 
--- a/packages/daemon/include/cuminroad/daemon/HttpReplies.h
+++ b/packages/daemon/include/cuminroad/daemon/HttpReplies.h
@@ -10,17 +10,26 @@
 
 namespace cuminroad {
 
-/// What became of a request or a job's submission.
-enum class Outcome { Done, NotRun, Unknown };
-
+/// The outcome of a request or of a job's submission.
+enum class Outcome {
+  /// It has a response, or the job was accepted.
+  Done,
+  /// It certainly did not run.
+  NotRun,
+  /// It may have run.
+  Unknown
+};
+
+/// \returns the name of the outcome in the X-Outcome header.
 std::string_view outcomeName(Outcome RequestOutcome);
 
-/// \returns an answer with a JSON body.
+/// \returns a response with a JSON body.
 HttpResponse jsonReply(int Status, const nlohmann::json &Body);
-/// \returns the answer for a failure: status by type, and a body with its
-/// number, name, message and detail.
+/// \returns the response for an error: the status that fits its code, and a
+/// body with its number, name, message and detail.
 HttpResponse errorReply(const Error &Fault);
-/// \returns the answer for a request that has no answer of its own.
+/// \returns the response for a request that got no response from a backend
+/// server or an owner. X-Outcome and the body show the outcome.
 HttpResponse outcomeReply(Outcome RequestOutcome, const Error &Cause);
 
 } // namespace cuminroad
--- a/packages/daemon/include/cuminroad/daemon/IdempotencyCache.h
+++ b/packages/daemon/include/cuminroad/daemon/IdempotencyCache.h
@@ -13,43 +13,48 @@
 
 namespace cuminroad {
 
-/// What this process knows of a request that may run only once.
+/// What this process knows about a request that may run only once.
 enum class IdempotencyState {
-  /// Known, and certainly not sent so far.
+  /// Registered, and certainly not sent to a backend server.
   NotStarted,
+  /// Being processed; it has no outcome yet.
   InFlight,
-  /// Ran; the answer is kept.
+  /// Finished; the response is cached.
   Completed,
-  /// Ran or may have run; the answer is no longer kept.
+  /// Finished, so it ran or may have run; its response was evicted.
   ResponseDropped,
-  /// Not known to this process.
+  /// Not registered in this process, or expired.
   Unknown,
 };
 
-/// Remembers the requests that this process alone may run, and their answers,
-/// so that a retry gets the first run's answer and never a second run.
+/// Tracks the requests that only this process may run, by ticket or idempotency
+/// key, and caches their responses, so that a retry gets the response of the
+/// first run and never starts a second one. Not thread-safe.
 class IdempotencyCache {
 public:
-  /// \param Life how long a ticket can be used and an answer is kept.
-  /// \param AnswerBytes answers kept at most, in bytes; the oldest go first.
+  /// \param Lifetime how long a ticket can be used and a response is cached.
+  /// \param MaxResponseBytes limit on the bodies of all cached responses; the
+  /// oldest ones are evicted first.
   IdempotencyCache(const Clock &Clock, milliseconds Lifetime,
                    std::size_t MaxResponseBytes);
 
-  /// Adds \p Name as fresh, unless it is known.
+  /// Registers \p Key as not started, unless it is registered already.
   void add(const std::string &Key);
   IdempotencyState state(std::string_view Key) const;
-  /// Marks a fresh entry as in flight.
+  /// Marks an entry that is not started as in flight.
   void markInFlight(const std::string &Key);
-  /// The request certainly did not run: it may be tried again.
+  /// Resets an entry whose request certainly did not run, so that it may be
+  /// sent again. Drops the cached response.
   void markNotStarted(const std::string &Key);
-  /// Adds a caller that waits for an entry in flight.
+  /// Adds a caller that waits for the response to an entry in flight.
   void addWaiter(const std::string &Key, HttpResponder Respond);
-  /// Keeps the answer. \returns the callers that waited.
+  /// Marks the entry as completed and caches the response. \returns the callers
+  /// that wait for it.
   std::vector<HttpResponder> complete(const std::string &Key,
                                       const HttpResponse &Response);
-  /// \returns the kept answer of an entry that is done.
+  /// \returns the cached response of a completed entry.
   HttpResponse cachedResponse(const std::string &Key) const;
-  /// Drops entries whose life is over.
+  /// Removes entries whose lifetime is over, but for those in flight.
   void dropExpired();
   std::size_t size() const { return Entries_.size(); }
 
@@ -65,8 +70,10 @@
   const Clock &Clock_;
   milliseconds Lifetime_;
   std::size_t MaxResponseBytes_;
+  /// Size of the bodies of all cached responses.
   std::size_t CachedBytes_ = 0;
   std::map<std::string, Entry, std::less<>> Entries_;
+  /// Keys of completed entries, the oldest first.
   std::vector<std::string> CompletionOrder_;
 };
 
--- a/packages/daemon/include/cuminroad/daemon/IdempotencyKeyStore.h
+++ b/packages/daemon/include/cuminroad/daemon/IdempotencyKeyStore.h
@@ -11,20 +11,21 @@
 
 namespace cuminroad {
 
-/// Who may run the request with a caller's key.
+/// The daemon process that may run the request with an idempotency key.
 struct IdempotencyKeyClaim {
   std::string Daemon;
   std::string Incarnation;
 };
 
-/// Claims callers' idempotency keys in the table before their requests are
-/// sent. Claims that come while a write is under way share the next one.
-/// Everything runs on the control thread.
+/// Claims callers' idempotency keys in the platform's table before their
+/// requests are sent to backend servers. Claims that arrive while a write is in
+/// progress are written together in the next one. Runs on the control thread.
 class IdempotencyKeyStore {
 public:
-  /// Called with the claim that holds; it may be another daemon's, or an
-  /// earlier one of this daemon. PlatformUnavailable and WriteOutcomeUnknown
-  /// mean that no claim is known to hold.
+  /// Receives the claim that is in the table, which may belong to another
+  /// daemon or to an earlier request to this one; \p NewlyClaimed is true if
+  /// this call wrote it. PlatformUnavailable and WriteOutcomeUnknown mean that
+  /// no claim is known to be in the table.
   using ClaimCallback =
       std::function<void(Result<IdempotencyKeyClaim>, bool NewlyClaimed)>;
 
--- a/packages/daemon/include/cuminroad/daemon/Identity.h
+++ b/packages/daemon/include/cuminroad/daemon/Identity.h
@@ -6,18 +6,18 @@
 
 namespace cuminroad {
 
-/// Digits of the incarnation that ids of requests carry.
+/// Number of leading digits of the incarnation that request ids contain.
 inline constexpr std::size_t IncarnationDigits = 8;
 
-/// Who a daemon is, for other daemons.
+/// A daemon's name, failure domain and addresses, as other daemons know them.
 struct Identity {
   std::string Name;
-  /// Random for each start of the process.
+  /// Random id of this run of the process.
   std::string Incarnation;
   std::string Domain;
-  /// "address:port" for HTTP.
+  /// "ADDRESS:PORT" of its HTTP API.
   std::string Http;
-  /// "address:port" for messages between daemons.
+  /// "ADDRESS:PORT" for messages between daemons.
   std::string Peer;
 
   bool operator==(const Identity &) const = default;
--- a/packages/daemon/include/cuminroad/daemon/JobRow.h
+++ b/packages/daemon/include/cuminroad/daemon/JobRow.h
@@ -15,18 +15,19 @@
 
 namespace cuminroad {
 
-/// What the table holds of a job.
+/// A job's row in the platform's table.
 struct JobRow {
   JobSpec Spec;
-  /// The customer's own name for the job; "" without one.
+  /// The name that the customer gave the job; empty without one.
   std::string Name;
-  /// Wall-clock milliseconds since the epoch.
+  /// When the job was accepted, in milliseconds since the Unix epoch.
   std::int64_t AcceptedMs = 0;
-  /// Tasks that ended, with whether they failed.
+  /// Indices of the tasks that ended, and whether each of them failed.
   std::map<int, bool> Ended;
-  /// Starts of tasks that may not run twice.
+  /// Indices of the tasks that must not run twice and whose start was recorded.
   std::set<int> RecordedStarts;
   bool Cancelled = false;
+  /// Set once the job has finished.
   std::optional<JobOutcome> Outcome;
 };
 
--- a/packages/daemon/include/cuminroad/daemon/JobStore.h
+++ b/packages/daemon/include/cuminroad/daemon/JobStore.h
@@ -14,50 +14,58 @@
 
 namespace cuminroad {
 
-/// Which rows a store writes, and what shows that it still may.
+/// The domain whose jobs a store writes, and the row that shows whether the
+/// store's owner is still in office.
 struct JobStoreScope {
   std::string Domain;
-  /// The row that changes with the domain's owner, and its version.
+  /// Key and version of the epoch row, which changes only when the domain gets
+  /// a new owner.
   std::string EpochKey;
   std::int64_t EpochVersion = 0;
 };
 
-/// The owner's jobs in the table. Changes are gathered and written together,
-/// one transaction at a time, so that the number of writes does not grow with
-/// the number of tasks. Each checks the domain's epoch row: a store of an
-/// earlier owner can't write any more. Each also replaces the domain's marker
-/// row, checked against its version, so that a transaction that was sent again
-/// after its reply was lost can't take effect twice or late. Runs on the
-/// control thread.
+/// Stores the jobs of a domain's owner in the platform's table. Changes are
+/// collected and written in batches, one transaction at a time, so that the
+/// number of writes does not grow with the number of tasks. Each transaction
+/// checks the version of the domain's epoch row, so that the store of an
+/// earlier owner can no longer write. Each also checks and replaces the
+/// domain's marker row, so that a transaction that was resent after a lost
+/// reply can't take effect twice or late. Runs on the control thread.
 class JobStore : public std::enable_shared_from_this<JobStore> {
 public:
+  /// Called once a change is committed.
   using CommitCallback = std::function<void()>;
-  /// The id of the job: a new one, or the one that has this name already.
+  /// Receives the id of the job: of the new one, or of the existing job with
+  /// the same name.
   using CreateCallback = std::function<void(Result<std::string>)>;
   using LoadCallback = std::function<void(std::vector<JobRow>)>;
 
-  /// \param Rows must resolve lost replies without giving up.
+  /// \param JobTable must retry a transaction whose reply was lost until its
+  /// outcome is known.
   JobStore(Table &JobTable, Loop &ControlLoop, JobStoreScope Scope);
 
-  /// Reads all unfinished jobs of the domain, trying until it succeeds.
+  /// Reads all unfinished jobs of the domain; retries until it succeeds.
   void load(LoadCallback Done);
-  /// Ends the store: nothing is written or called back any more, but for a
-  /// transaction that is under way.
+  /// Stops writing. Jobs whose creation was not sent yet fail with NoOwner. A
+  /// transaction in progress still completes, and calls the callbacks of the
+  /// jobs that it creates, but no other ones.
   void close();
+  /// Writes a new job.
   void create(JobRow Row, CreateCallback Done);
-  /// \returns false where the end is known and its write under way; then
-  /// \p Done is dropped.
+  /// Writes the end of a task. \returns false, without keeping \p Done, if the
+  /// same end is already waiting to be written.
   bool recordEnd(const TaskRef &Task, bool Failed, CommitCallback Done);
-  /// Whether nothing is left to write of the task's end: it is in the table, or
-  /// no unfinished job has such a task.
+  /// Whether the task's end needs no write: it is in the table, or no
+  /// unfinished job has such a task.
   bool isEndRecorded(const TaskRef &Task) const;
+  /// Writes that a task that must not run twice is about to be started.
   void recordStart(const TaskRef &Task, CommitCallback Done);
   void recordCancellation(const std::string &Job, CommitCallback Done);
-  /// Moves the job to the finished ones.
+  /// Moves the job's row to the finished jobs.
   void moveToFinished(const std::string &Job, JobOutcome FinalOutcome);
-  /// \returns the unfinished job, or null.
+  /// \returns the row of an unfinished job, or null.
   const JobRow *find(const std::string &Job) const;
-  /// Called when the table shows that there is another owner.
+  /// Called when the table shows that the domain has another owner.
   std::function<void()> OnSuperseded;
 
 private:
@@ -65,13 +73,14 @@
     JobRow Row;
     bool InTable = false;
     bool Finished = false;
-    /// Ends that are not yet in the table.
+    /// Indices of tasks whose end is not yet in the table.
     std::set<int> UnwrittenEnds;
   };
   struct PendingCreation {
     std::string Job;
     CreateCallback Done;
   };
+  /// Changes that are written in one transaction.
   struct Batch {
     std::set<std::string> Jobs;
     std::vector<PendingCreation> Creations;
@@ -98,6 +107,7 @@
   Loop &ControlLoop_;
   JobStoreScope Scope_;
   bool Closed_ = false;
+  /// Whether a transaction is scheduled or has no result yet.
   bool WriteInProgress_ = false;
   std::int64_t MarkerVersion_ = 0;
   std::map<std::string, StoredJob> Jobs_;
--- a/packages/daemon/include/cuminroad/daemon/RequestFrontend.h
+++ b/packages/daemon/include/cuminroad/daemon/RequestFrontend.h
@@ -26,7 +26,7 @@
 
 namespace cuminroad {
 
-/// What a front door works with; all of it outlives the front door.
+/// Dependencies of a RequestFrontend. Every referenced object must outlive it.
 struct RequestFrontendContext {
   const Settings &Config;
   const Identity &Self;
@@ -39,50 +39,62 @@
   IdempotencyKeyStore &IdempotencyKeys;
 };
 
-/// Requests since the start, by how they ended.
+/// Service requests since the start of the process by outcome, and retries.
 struct RequestOutcomeCounts {
+  /// Requests that got a backend server's response.
   std::uint64_t Done = 0;
+  /// Requests that certainly did not run.
   std::uint64_t NotRun = 0;
+  /// Requests that may have run and got no response.
   std::uint64_t Unknown = 0;
+  /// Attempts after the first one of a request.
   std::uint64_t Retries = 0;
 };
 
-/// Takes callers' service requests, holds their connections, sends them to
-/// backend servers and returns whole answers. Safe to use from any thread: its
-/// state is behind one mutex, which is never held during a call out of it.
+/// Accepts callers' service requests, queues each until a slot on a backend
+/// server's VM is free, sends it there, and returns the complete response. Safe
+/// to use from any thread: a mutex guards its state and is never held while
+/// code outside of this class is called back.
 ///
 /// Invariants: a request that is not idempotent is sent again only when it is
-/// certain that it did not run. "Not run" is answered only when no backend
-/// server got a byte of it or each that did refused it.
+/// certain that it did not run. The outcome is "not run" only when no backend
+/// server received any byte of the request, or every one that did refused it.
 class RequestFrontend {
 public:
-  /// \param AskOwner called when requests wait for lack of a grant.
+  /// \param RequestGrants called when a grant request should be sent to the
+  /// domain's owner soon, for example because requests wait for a slot.
   RequestFrontend(const RequestFrontendContext &Context,
                   std::function<void()> RequestGrants);
   ~RequestFrontend();
 
-  /// Answers POST /v1/customers/C/services/S/requests.
+  /// Handles POST /v1/customers/CUSTOMER/services/SERVICE/requests.
   void handleRequest(const std::string &Customer, const std::string &Service,
                      HttpRequest Request, HttpResponder Respond);
-  /// Answers POST /v1/tickets.
+  /// Handles POST /v1/tickets.
   HttpResponse issueTicket();
-  /// Fills in the request for grants and notes when it was made.
+  /// Fills in the caps and demand of a grant request, and records its time: the
+  /// lease of the grants counts from there.
   void fillGrantRequest(GrantRequest &Request);
   void applyGrantReply(const GrantReply &Reply);
-  /// Ends waiting requests whose time is up; called every few milliseconds.
+  /// Ends waiting requests that can no longer start in time. Call every few
+  /// milliseconds.
   void endExpiredRequests();
-  /// Drops kept answers and tickets whose life is over; called each second.
+  /// Drops expired tickets, idempotency keys and cached responses. Call about
+  /// once a second.
   void dropExpiredResponses();
 
   RequestOutcomeCounts outcomeCounts() const;
   std::size_t waitingRequests() const;
-  /// Milliseconds that the last requests waited for a slot, for the metrics.
+  /// Called when a request is first sent, with the time in milliseconds since
+  /// its arrival.
   std::function<void(double)> OnStartWait;
 
 private:
+  /// A service request with its state.
   struct ServiceCall;
   using ServiceCallPtr = std::shared_ptr<ServiceCall>;
 
+  /// The options in a request's headers.
   struct RequestOptions;
   Result<RequestOptions> parseRequestOptions(const HttpRequest &Request,
                                              const ContractTerms &Terms,
@@ -117,6 +129,7 @@
   IdempotencyCache IdempotencyCache_;
   RetryBudget RetryBudget_;
   std::minstd_rand Random_;
+  /// Calls that wait for a slot, by id.
   std::map<std::uint64_t, ServiceCallPtr> WaitingCalls_;
   RequestOutcomeCounts OutcomeCounts_;
   TimePoint GrantRequestSentAt_{};
--- a/packages/daemon/include/cuminroad/daemon/VmSession.h
+++ b/packages/daemon/include/cuminroad/daemon/VmSession.h
@@ -19,21 +19,21 @@
 
 namespace cuminroad {
 
-/// A task that ended on a VM.
+/// A task that ended on a VM, with how it ended.
 struct EndedTask {
   TaskAttempt Task;
   bool Failed = false;
   bool Stopped = false;
 };
 
-/// What a VM tells its owner. Called on the control thread.
+/// Receives the events of a VmSession, on the control thread.
 class VmSessionListener {
 public:
   virtual ~VmSessionListener() = default;
-  /// The VM is held; \p Running is all that runs there.
+  /// The claim succeeded; \p Running is the complete list of running tasks.
   virtual void onVmClaimed(const std::string &Vm,
                            const std::vector<InventoryTask> &Running) = 0;
-  /// Each end is told again until it is acknowledged.
+  /// Reported repeatedly for each task, until its end is acknowledged.
   virtual void onTasksEnded(const std::string &Vm,
                             const std::vector<EndedTask> &Tasks) = 0;
   virtual void onUsageReported(const std::string &Vm, const TaskAttempt &Task,
@@ -42,6 +42,7 @@
                              const TaskAttempt &Task) = 0;
   virtual void onStartRefused(const std::string &Vm, const TaskAttempt &Task,
                               const std::string &Reason) = 0;
+  /// The VM accepts no new work.
   virtual void onVmLeaving(const std::string &Vm) = 0;
   /// The leases of all tasks on the VM have certainly lapsed.
   virtual void onLeasesLapsed(const std::string &Vm) = 0;
@@ -50,35 +51,39 @@
                                  const std::string &Holder) = 0;
 };
 
-/// A service request that a VM is working on.
+/// A service request that a VM is processing.
 struct InFlightRequest {
-  /// "DAEMON-INCARNATION-...", see RequestFrontend.
+  /// "DAEMON-DIGITS-CALL-ATTEMPT", where DIGITS are the first
+  /// IncarnationDigits of the daemon's incarnation. RequestFrontend sets it.
   std::string Id;
   std::string Customer;
 };
 
-/// Claims of one epoch that can be told apart.
+/// Low bits of a fencing token, which count the claims within one epoch; the
+/// epoch is in the bits above them.
 inline constexpr int ClaimCounterBits = 20;
-/// \returns the epoch that a VM's fence was made from.
+/// \returns the epoch that a fencing token carries.
 constexpr std::int64_t epochOfFencingToken(std::int64_t FencingToken) {
   return FencingToken >> ClaimCounterBits;
 }
 
-/// Who claims, and where.
+/// The VM that a session claims, and the owner that claims it.
 struct VmClaim {
   std::string Vm;
   std::string Url;
   std::int64_t Epoch = 0;
+  /// The claiming daemon, "NAME/INCARNATION".
   std::string Holder;
 };
 
-/// The owner's conversation with one VM: claims it, renews its lease by a call
-/// that the VM holds back until it has something to tell, and sends starts and
-/// stops. Runs on the control thread.
+/// The owner's session with one VM: claims the VM, renews the leases of its
+/// tasks by a long poll, to which the VM responds when it has an event to
+/// report or the wait is over, and sends start, stop and throttle commands.
+/// Runs on the control thread.
 ///
-/// Invariant: lapsed() is called only when the last renewal that may have
-/// reached the VM was sent longer ago than the lease and the margin for clocks
-/// that run apart, and no renewal is sent meanwhile.
+/// Invariant: onLeasesLapsed() is called only when the time since the last
+/// claim or renewal that may have reached the VM exceeds the lease plus the
+/// margin for clock drift, and none is sent in between.
 class VmSession : public std::enable_shared_from_this<VmSession> {
 public:
   /// All references must outlive the session.
@@ -86,16 +91,18 @@
             HttpClient &Client, Loop &ControlLoop, VmSessionListener &Listener);
 
   void start();
-  /// Ends the session; no event comes after this.
+  /// Ends the session; no event is reported afterwards.
   void close() { Closed_ = true; }
   void startTask(const StartTask &Command);
   void stopTask(const StopTask &Command);
   void throttleTask(const ThrottleTask &Command);
-  /// The end of \p Task is in the table; the VM may forget it.
+  /// Lets the VM discard the end of \p Task, which is stored in the table.
   void acknowledgeEnd(const TaskAttempt &Task);
-  /// Asks for the requests in flight; nothing where the VM does not answer.
+  /// Reads the requests in flight; passes std::nullopt if the VM doesn't
+  /// respond successfully.
   void fetchInFlightRequests(
       std::function<void(std::optional<std::vector<InFlightRequest>>)> Done);
+  /// Whether the last claim is in force.
   bool held() const { return Held_; }
   const std::string &vm() const { return Claim_.Vm; }
 
@@ -132,11 +139,13 @@
   bool LeavingReported_ = false;
   bool CommandBatchScheduled_ = false;
   int ConsecutiveFailures_ = 0;
-  /// When the last call that may have renewed the VM's lease was sent.
+  /// When the last claim or renewal that may have reached the VM was sent.
   TimePoint LastRenewalSentAt_{};
+  /// When the last successful reply to a claim or renewal arrived.
   TimePoint LastReplyAt_{};
   std::vector<StartTask> PendingStarts_;
   std::vector<StopTask> PendingStops_;
+  /// Stops that were sent for tasks whose end is not yet reported.
   std::set<TaskAttempt> UnconfirmedStops_;
   std::vector<TaskAttempt> PendingAcks_;
 };
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -30,7 +30,8 @@
   return Out;
 }
 
-/// Takes as long for a wrong token as for the right one.
+/// Compares in a time that does not depend on how many characters match, so
+/// that a token can't be guessed from response times.
 bool equalInConstantTime(std::string_view Left, std::string_view Right) {
   unsigned Difference = Left.size() == Right.size() ? 0 : 1;
   for (std::size_t Index = 0; Index < Left.size(); ++Index)
@@ -40,7 +41,7 @@
   return Difference == 0;
 }
 
-/// Names of customers become parts of keys in the table.
+/// Customer names become parts of keys in the platform's table.
 bool isValidCustomerName(const std::string &Name) {
   return !Name.empty() && Name.size() <= MaxCustomerLength &&
          std::all_of(Name.begin(), Name.end(), [](unsigned char Letter) {
@@ -48,6 +49,7 @@
          });
 }
 
+/// \returns the failure domain in a job id, "DOMAIN.CUSTOMER.NAME".
 std::string domainOfJob(const std::string &Job) {
   return Job.substr(0, Job.find('.'));
 }
@@ -79,6 +81,8 @@
   return Out;
 }
 
+/// Whether another domain may accept a job that one domain refused with \p
+/// Status.
 bool mayRunElsewhere(int Status) { return Status == 422 || Status == 503; }
 
 } // namespace
@@ -136,7 +140,7 @@
     return handleJobs(Segments, Request, Respond);
   if (!Known)
     return Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
-  // The rest is for operators.
+  // The remaining paths are for operators only.
   if (!authorized(Request))
     return Respond(errorReply(Error{ErrorCode::Unauthorized, {}}));
   if (Segments[1] == "contracts")
@@ -192,8 +196,9 @@
   const std::string Domain = Domains.front();
   Domains.erase(Domains.begin());
   const HttpResponder Next = [=, this](HttpResponse Response) {
-    // "Not run" lets the next domain have the job; the caller gets the refusal
-    // of its own domain where all refuse.
+    // After "not run" the next domain is tried. If all domains refuse, the
+    // caller gets the refusal of this daemon's own domain, which is tried
+    // first.
     const bool NotRun = findHeader(Response.Headers, "X-Outcome") ==
                         outcomeName(Outcome::NotRun);
     if (!NotRun || !mayRunElsewhere(Response.Status))
@@ -321,7 +326,7 @@
   Change.Operator = Reader.text("operator", "");
   if (!isValidCustomerName(Customer))
     Reader.fault(ErrorCode::ValueOutOfRange, "customer",
-                 "must be letters, digits, - and _");
+                 "must contain only letters, digits, - and _");
   if (Request.Method == "PUT") {
     const nlohmann::json *Terms = Reader.member("terms");
     const auto Parsed = parseContractTerms(
--- a/packages/daemon/src/Api.h
+++ b/packages/daemon/src/Api.h
@@ -12,17 +12,18 @@
 
 namespace cuminroad {
 
-/// The daemon's HTTP interface for callers and operators, see docs/API.md.
-/// handle() may be called on any thread; all but service requests and tickets
-/// is worked on by the control thread.
+/// The daemon's HTTP API for callers and operators, see docs/API.md. handle()
+/// may be called on any thread. Service requests, tickets and health checks are
+/// handled on that thread, everything else on the control thread.
 class Api {
 public:
   Api(DaemonComponents &Components, RequestFrontend &Frontend,
       Metrics &DaemonMetrics);
 
   void handle(HttpRequest Request, HttpResponder Respond);
-  /// Whether callers may be sent here.
+  /// Whether a load balancer may send callers to this daemon.
   std::function<bool()> IsReady;
+  /// Returns the traffic of messages between daemons, for the metrics.
   std::function<PeerTraffic()> GetPeerTraffic;
 
 private:
@@ -37,6 +38,9 @@
   void handleContracts(const PathSegments &Segments, const HttpRequest &Request,
                        const HttpResponder &Respond);
   void submitJob(const HttpRequest &Request, const HttpResponder &Respond);
+  /// Submits a job to each of \p Domains in turn until one doesn't refuse it.
+  /// If all refuse, responds with the first refusal; \p FirstRefusal is empty
+  /// until there is one.
   void submitToDomains(const HttpRequest &Request, const HttpResponder &Respond,
                        std::vector<std::string> Domains,
                        HttpResponse FirstRefusal);
@@ -54,7 +58,7 @@
   void showEvents(const HttpRequest &Request, const HttpResponder &Respond);
   void drainVm(const std::string &Vm, const HttpRequest &Request,
                const HttpResponder &Respond);
-  /// Sends the request to the owner of \p Domain and passes its answer on.
+  /// Forwards the request to the owner of \p Domain and passes on its response.
   void forwardToOwner(const std::string &Domain, const HttpRequest &Request,
                       HttpResponder Respond);
   void forwardToDaemon(const std::string &Http, const HttpRequest &Request,
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -15,14 +15,18 @@
 
 namespace {
 
+/// Interval of ending waiting requests that can no longer start in time.
 constexpr milliseconds RequestExpiryInterval{10};
+/// Interval of dropping expired tickets, keys and cached responses.
 constexpr milliseconds ResponseExpiryInterval{1000};
-/// Delay of a request for grants, which lets several causes share it, and the
-/// least time between two: it bounds the control traffic of an overload.
+/// Delay of a grant request after its cause, so that several causes share one.
 constexpr milliseconds GrantRequestDelay{5};
+/// Shortest time between two grant requests outside of the periodic ones;
+/// limits the control traffic during an overload.
 constexpr milliseconds MinGrantRequestInterval{100};
+/// Interval of reading the VM list that a later owner starts from.
 constexpr milliseconds VmListPollInterval{10000};
-/// Time for the last message to a peer to leave.
+/// Time for the last message to a peer to be sent before the process exits.
 constexpr milliseconds FinalMessageDelay{200};
 
 class EntryDaemon final : public Daemon {
@@ -108,7 +112,7 @@
 EntryDaemon::~EntryDaemon() {
   if (DrainThread_.joinable())
     DrainThread_.join();
-  // Whoever calls into the front door ends first.
+  // Destroy everything that calls the frontend before the frontend itself.
   Server_.reset();
   PeerSocket_.reset();
   Components_.TrafficClient.reset();
@@ -155,7 +159,7 @@
                    Components_.SharedConfig, Components_.LastListing},
       Term);
   Components_.LocalOwner->OnSuperseded = [this](std::int64_t Epoch) {
-    // Later, since the owner that calls is ended by it.
+    // Posted, because it destroys the owner that makes this call.
     Components_.ControlLoop->post(
         [this, Epoch] { Components_.DomainOwnership.supersede(Epoch); });
   };
@@ -319,7 +323,8 @@
 }
 
 void EntryDaemon::finishShutdown() {
-  // Nothing is in flight any more: the report gives all grants back.
+  // No request is in flight any more, so this grant request releases all
+  // grants.
   requestGrants();
   Components_.SharedConfig.leave([this] {
     Components_.ControlLoop->after(FinalMessageDelay, [this] {
--- a/packages/daemon/src/DaemonComponents.h
+++ b/packages/daemon/src/DaemonComponents.h
@@ -23,33 +23,42 @@
 
 namespace cuminroad {
 
-/// What a daemon is made of, in the order in which the parts depend on each
-/// other.
+/// The components of a daemon. Each depends only on those declared before it.
 struct DaemonComponents {
   explicit DaemonComponents(const Settings &Settings);
 
-  /// Tries for a write whose caller waits; some ten seconds.
+  /// How often a transaction is sent while its caller waits for the outcome;
+  /// takes about ten seconds in total.
   static constexpr int CallerWriteAttempts = 8;
+  /// For transactions whose outcome must be known before work can continue.
   static constexpr int UnlimitedWriteAttempts = std::numeric_limits<int>::max();
 
   Settings Config;
   Identity Self;
   SteadyClock MonotonicClock;
   EventLog Events;
+  /// Runs on the control thread.
   std::unique_ptr<RunnableLoop> ControlLoop;
+  /// For callers' requests to backend servers and to other daemons.
   std::unique_ptr<HttpClient> TrafficClient;
+  /// For calls to the platform, to VMs and to other daemons' APIs.
   std::unique_ptr<HttpClient> ControlClient;
   HttpTable PlatformTable;
+  /// PlatformTable with CallerWriteAttempts.
   ResolvingTable RetryingTable;
+  /// PlatformTable with UnlimitedWriteAttempts.
   ResolvingTable UnlimitedRetryTable;
   std::unique_ptr<VmList> VmListSource;
   ContractBook Contracts;
   MemberBook Members;
+  /// The contracts and members that all daemons share.
   ConfigKeeper SharedConfig;
+  /// Which daemon owns this daemon's failure domain.
   Ownership DomainOwnership;
   IdempotencyKeyStore IdempotencyKeys;
-  /// Set while this daemon owns its domain.
+  /// The owner of the failure domain; null unless it is this daemon.
   std::shared_ptr<DomainOwner> LocalOwner;
+  /// The VM list as last read.
   VmListing LastListing;
 };
 
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -11,10 +11,13 @@
 
 namespace {
 
-/// How often what became due is looked at when nothing happens.
+/// Interval of scheduling passes without an event, for work that becomes due by
+/// time alone.
 constexpr milliseconds ScheduleInterval{50};
-/// Spare time for clocks and messages in the settling of grants.
+/// Added to the time after which an earlier owner's grants have lapsed, for
+/// clock differences and message delays.
 constexpr milliseconds GrantSettleMargin{3000};
+/// The same where the VMs are asked for their requests in flight.
 constexpr milliseconds EarlyGrantSettleMargin{500};
 
 std::int64_t unixTimeMillis() {
@@ -23,14 +26,16 @@
       .count();
 }
 
-/// After this nobody starts requests on an earlier owner's grants: the lease
-/// is over, and who is cut off together with that owner has noticed.
+/// \returns the delay after which no frontend starts requests on an earlier
+/// owner's grants any more: the lease is over, and a frontend that was cut off
+/// together with that owner has noticed it.
 milliseconds earlyGrantSettleDelay(const Timings &Times) {
   return Times.GrantLease + 2 * Times.GrantRenewal + EarlyGrantSettleMargin;
 }
 
-/// Request ids begin with the name and the first digits of the incarnation of
-/// the daemon, holders are NAME/INCARNATION.
+/// \returns the prefix "NAME-DIGITS-" of the ids of the requests that a grant
+/// holder sends. A holder is given as "NAME/INCARNATION"; DIGITS are the first
+/// IncarnationDigits of the incarnation.
 std::string requestIdPrefix(const std::string &Holder) {
   const std::size_t Slash = Holder.find('/');
   return Holder.substr(0, Slash) + "-" +
@@ -74,8 +79,9 @@
     runScheduler();
   };
   Shares_->start();
-  // The VMs must be known first: what an earlier owner started may run on any
-  // of them. Without the table the jobs stay unknown, and what runs goes on.
+  // The VM list is read before the jobs, because a task that an earlier owner
+  // started may run on any VM. An owner chosen without the table doesn't load
+  // the jobs; the tasks that run continue.
   if (Term_.EpochVersion == 0)
     applyVmList(Context_.LastListing);
   pollVmList();
@@ -100,7 +106,7 @@
          Id = Id](const std::optional<std::vector<InFlightRequest>> &Requests) {
           if (Requests)
             Self->countUntrackedRequests(Id, *Requests, *Totals);
-          // A VM that is silent keeps the full settling time.
+          // If any VM doesn't respond, the full settling time applies.
           Totals->AllVmsReplied = Totals->AllVmsReplied && Requests;
           if (--Totals->PendingReplies == 0 && Totals->AllVmsReplied &&
               !Self->Closed_)
@@ -220,7 +226,8 @@
     Scheduler_->recover(Job);
   }
   JobsLoaded_ = true;
-  // Ends come first: once the last VM is claimed, what has not ended starts.
+  // Ends are applied before inventories: once the last VM is claimed, the
+  // scheduler starts every task that has not ended.
   for (auto &[Id, Vm] : Vms_)
     for (const EndedTask &End : std::exchange(Vm.EndedTasks, {}))
       applyTaskEnd(Id, End);
@@ -303,7 +310,7 @@
     return Vm->Session->startTask(Command);
   StartsBeingRecorded_.insert(Command.Task);
   Jobs_->recordStart(Command.Task.Task, [this, Command] {
-    // It may have been stopped or given up while the write was under way.
+    // Skip the start if the task was stopped while the write was in progress.
     if (StartsBeingRecorded_.erase(Command.Task) > 0)
       if (KnownVm *Target = findVm(Command.Vm))
         Target->Session->startTask(Command);
@@ -312,7 +319,7 @@
 
 void DomainOwner::execute(const StopTask &Command) {
   if (StartsBeingRecorded_.erase(Command.Task) > 0) {
-    // The start was never sent.
+    // The start command has not been sent, so the task certainly did not run.
     Scheduler_->startRefused(Command.Task);
     return;
   }
@@ -356,7 +363,7 @@
       fmt::format("{}.{}.{}", Context_.Self.Domain, Spec.Customer, LocalId);
   Row.Spec = Spec;
   Row.AcceptedMs = unixTimeMillis();
-  // A submission that is sent again names a job that is already here.
+  // A repeated submission under the same name returns the existing job.
   if (Jobs_->find(Spec.Id))
     return Done(Spec.Id);
   Jobs_->create(Row, [Self = shared_from_this(), Spec,
@@ -396,7 +403,7 @@
   GrantReply Reply = std::move(Decision.Reply);
   Reply.Owner = Context_.Self.Name;
   Reply.Epoch = Term_.Epoch;
-  // The epoch makes tables of two owners differ.
+  // The epoch in the upper 32 bits makes the versions of two owners distinct.
   Reply.VmTable = (Term_.Epoch << 32) + VmTableVersion_;
   if (Request.VmTable != Reply.VmTable) {
     Reply.Vms.emplace();
--- a/packages/daemon/src/DomainOwnerVmEvents.cpp
+++ b/packages/daemon/src/DomainOwnerVmEvents.cpp
@@ -1,4 +1,4 @@
-// What the VMs of the domain tell their owner.
+// Handles the events that the VM sessions report to the DomainOwner.
 
 #include "cuminroad/daemon/DomainOwner.h"
 
@@ -34,7 +34,8 @@
                                const std::vector<EndedTask> &Tasks) {
   KnownVm &Vm = Vms_.at(Id);
   if (!JobsLoaded_) {
-    // Each end is told again until it is acknowledged; the last list is all.
+    // A VM reports each end until it is acknowledged, so the newest list is
+    // complete.
     Vm.EndedTasks = Tasks;
     return;
   }
@@ -48,7 +49,8 @@
     if (KnownVm *Vm = findVm(Id))
       Vm->Session->acknowledgeEnd(Task);
   };
-  // Only an end that is in the table may be forgotten by the VM.
+  // Acknowledge only an end that is stored in the table: the VM discards an
+  // acknowledged end.
   if (End.Stopped || Jobs_->isEndRecorded(End.Task.Task))
     Acknowledge();
   else if (Jobs_->recordEnd(End.Task.Task, End.Failed, Acknowledge))
--- a/packages/daemon/src/IdempotencyKeyStore.cpp
+++ b/packages/daemon/src/IdempotencyKeyStore.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Claims that come within this time share a write.
+/// Claims that arrive within this time share a write.
 constexpr milliseconds BatchDelay{5};
 constexpr std::size_t MaxClaimsPerWrite = 200;
 
@@ -43,7 +43,8 @@
   std::vector<PendingClaim> Remaining;
   std::set<std::string> Keys;
   for (PendingClaim &Entry : Queue_) {
-    // Two claims of one key can't share a transaction.
+    // A transaction can write a key only once; a second claim of it waits for
+    // the next transaction.
     if (Batch.size() >= MaxClaimsPerWrite || !Keys.insert(Entry.Key).second) {
       Remaining.push_back(std::move(Entry));
       continue;
--- a/packages/daemon/src/JobRow.cpp
+++ b/packages/daemon/src/JobRow.cpp
@@ -13,8 +13,8 @@
                                   std::pair{JobOutcome::Cancelled, "cancelled"},
                                   std::pair{JobOutcome::Unknown, "unknown"}};
 
-/// Packs sorted numbers into [first, last] pairs: arrays of tasks mostly end
-/// in runs.
+/// Packs sorted numbers into [first, last] ranges. This is compact, because the
+/// ended tasks of a job are mostly consecutive.
 template <typename Range> nlohmann::json packRanges(const Range &Numbers) {
   nlohmann::json Out = nlohmann::json::array();
   for (const int Number : Numbers) {
--- a/packages/daemon/src/JobStore.cpp
+++ b/packages/daemon/src/JobStore.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Changes that come within this time share a transaction. It bounds a domain
-/// to ten writes a second.
+/// Changes that are made within this time share a transaction, which limits a
+/// domain to ten transactions a second.
 constexpr milliseconds BatchDelay{100};
 constexpr milliseconds RetryDelay{1000};
 constexpr std::size_t MaxJobsPerWrite = 200;
@@ -175,7 +175,8 @@
   Change.Writes = {{markerKey(), {{"epoch", Scope_.EpochVersion}}}};
   Batch Sent = std::exchange(NextBatch_, {});
   while (Sent.Jobs.size() > MaxJobsPerWrite) {
-    // Callbacks wait for the last part, so none comes too early.
+    // The callbacks stay with the last part, so that none is called before its
+    // change is committed.
     NextBatch_.Jobs.insert(Sent.Jobs.extract(std::prev(Sent.Jobs.end())));
   }
   if (!NextBatch_.Jobs.empty()) {
@@ -225,8 +226,8 @@
   if (!Closed_)
     for (const CommitCallback &Each : Sent.Callbacks)
       Each();
-  // A creation that took effect is told even by a store that was closed
-  // meanwhile: the next owner has the job.
+  // Report a committed creation even if the store was closed meanwhile, because
+  // the next owner will load the job.
   for (const PendingCreation &Each : Sent.Creations)
     Each.Done(Each.Job);
 }
@@ -264,7 +265,8 @@
 }
 
 void JobStore::handleUnavailable(Batch Sent) {
-  // Certainly nothing was written: new jobs are refused, the rest waits.
+  // Certainly nothing was written: refuse new jobs, and retry the other
+  // changes.
   for (const PendingCreation &Each : Sent.Creations) {
     Sent.Jobs.erase(Each.Job);
     Jobs_.erase(Each.Job);
--- a/packages/daemon/src/Metrics.h
+++ b/packages/daemon/src/Metrics.h
@@ -10,19 +10,20 @@
 
 namespace cuminroad {
 
-/// Bytes of messages between daemons.
+/// Traffic of messages between daemons, in bytes.
 struct PeerTraffic {
   std::uint64_t Sent = 0;
   std::uint64_t Received = 0;
 };
 
-/// The daemon's metrics, by Prometheus's naming conventions.
+/// The daemon's metrics in the Prometheus format.
 class Metrics {
 public:
   Metrics();
-  /// Notes how long a request waited for its slot.
+  /// Records the time from a request's arrival until it was first sent.
   void observeStartWait(double Milliseconds);
-  /// \returns the text exposition of all metrics. Call on the control thread.
+  /// \returns all metrics in the Prometheus text format. Call on the control
+  /// thread.
   std::string render(const DaemonComponents &Components,
                      const RequestFrontend &Frontend,
                      const PeerTraffic &PeerMessages);
--- a/packages/daemon/src/RequestFrontend.cpp
+++ b/packages/daemon/src/RequestFrontend.cpp
@@ -12,13 +12,15 @@
 
 namespace {
 
+/// How long a ticket can be used and the response to a request is cached.
 constexpr milliseconds IdempotencyEntryLifetime{300000};
 constexpr std::size_t MaxCachedResponseBytes = 32 << 20;
 constexpr milliseconds RetryDelayMin{5};
 constexpr milliseconds RetryDelayMax{500};
-/// Time for a backend server to notice a passed deadline.
+/// Time that a backend server may take to notice that a deadline has passed.
 constexpr milliseconds DeadlineMargin{500};
 constexpr milliseconds ConnectTimeout{1000};
+/// The shortest time that an attempt is given; no retry starts with less left.
 constexpr milliseconds MinAttemptTime{20};
 constexpr int MaxAttempts = 6;
 
@@ -40,7 +42,6 @@
   std::string Ticket;
 };
 
-/// A request that this front door is working on.
 struct RequestFrontend::ServiceCall {
   std::uint64_t Id = 0;
   std::string Customer;
@@ -50,12 +51,15 @@
   RequestOptions Options;
   bool Urgent = false;
   TimePoint ArrivedAt{};
+  /// The latest time at which the next attempt may start.
   TimePoint StartBy{};
   TimePoint Deadline{};
   int Attempts = 0;
+  /// Whether an attempt ended without a response.
   bool MayHaveRun = false;
+  /// VMs that failed an attempt; later attempts avoid them.
   std::set<std::string> ExcludedVms;
-  /// Called once with the outcome.
+  /// Called exactly once, with the outcome and the response for the caller.
   std::function<void(Outcome, HttpResponse)> OnFinished;
 };
 
@@ -95,7 +99,7 @@
   Parsed.Ticket = findHeader(Request.Headers, "X-Ticket");
   if (!Parsed.Key.empty() && !Parsed.Ticket.empty())
     return failure(ErrorCode::ValueOutOfRange,
-                   "Idempotency-Key and X-Ticket exclude each other");
+                   "Idempotency-Key and X-Ticket are mutually exclusive");
   return Parsed;
 }
 
@@ -192,7 +196,7 @@
                                      const Result<IdempotencyKeyClaim> &Claim,
                                      bool NewlyClaimed) {
   if (!Claim) {
-    // Whatever became of the claim, nothing was sent on its strength.
+    // Whether or not the claim was written, the request was not sent.
     return Respond(outcomeReply(Outcome::NotRun, Claim.error()));
   }
   if (Claim->Daemon != Context_.Self.Name ||
@@ -235,7 +239,7 @@
     return Respond(std::move(CachedResponse));
   case IdempotencyState::ResponseDropped:
   case IdempotencyState::Unknown:
-    // It may have run, and its answer is not kept.
+    // The request may have run, and its response is not cached.
     return Respond(
         outcomeReply(Outcome::Unknown, Error{UnavailableError, CacheKey}));
   }
@@ -245,7 +249,8 @@
     {
       const std::lock_guard Lock(Mutex_);
       Waiters = IdempotencyCache_.complete(CacheKey, Response);
-      // What certainly did not run may be tried again under its name.
+      // A request that certainly did not run may be sent again under its ticket
+      // or key.
       if (CallOutcome == Outcome::NotRun)
         IdempotencyCache_.markNotStarted(CacheKey);
     }
@@ -354,7 +359,8 @@
   if (!Call->ContentType.empty())
     BackendCall.Headers.emplace_back("Content-Type", Call->ContentType);
   BackendCall.Body = Call->Body;
-  // Half of the time that is left keeps the other half for a retry.
+  // An idempotent request gets half of the remaining time, which leaves the
+  // other half for a retry.
   BackendCall.Timeout = Call->Options.Idempotent
                             ? std::max(TimeLeft / 2, MinAttemptTime)
                             : TimeLeft;
@@ -380,8 +386,8 @@
 void RequestFrontend::handleBackendResult(ServiceCallPtr Call, Slot HeldSlot,
                                           TimePoint SentAt, HttpResult Result) {
   if (!Result && Result.error().Code != ErrorCode::ConnectFailed) {
-    // The backend server may still be at it: the slot stays taken until the
-    // deadline that it was given has certainly passed.
+    // The backend server may still be processing the request: the slot stays
+    // occupied until the deadline passed to the server is certainly over.
     Call->MayHaveRun = true;
     const auto TimeLeft = std::chrono::duration_cast<milliseconds>(
         Call->Deadline - Context_.MonotonicClock.now());
--- a/packages/daemon/src/TaskText.h
+++ b/packages/daemon/src/TaskText.h
@@ -7,7 +7,7 @@
 
 namespace cuminroad {
 
-/// \returns the task's name for events: JOB/INDEX.
+/// \returns the subject of a task's log events, "JOB/INDEX".
 inline std::string taskText(const TaskAttempt &Task) {
   return Task.Task.Job + "/" + std::to_string(Task.Task.Index);
 }
--- a/packages/daemon/src/VmSession.cpp
+++ b/packages/daemon/src/VmSession.cpp
@@ -13,13 +13,15 @@
 constexpr milliseconds CallTimeout{2000};
 constexpr milliseconds RetryDelayMin{100};
 constexpr milliseconds RetryDelayMax{2000};
-/// Starts and stops that come within this time share a call.
+/// Starts and stops that are requested within this time share a call.
 constexpr milliseconds CommandBatchDelay{5};
-/// Clocks of two machines run apart by no more than this share of a lease.
+/// The clocks of two machines drift apart by at most this percentage of a lease
+/// within the lease.
 constexpr int MaxClockDriftPercent = 5;
 constexpr int StatusOk = 200;
 constexpr int StatusConflict = 409;
-/// The shortest wait, as a part of the renewal time.
+/// The shortest wait of a renewal's long poll, as a fraction of the renewal
+/// interval.
 constexpr double MinRenewalWaitFraction = 0.7;
 
 nlohmann::json toJson(const TaskAttempt &Task) {
@@ -34,7 +36,8 @@
       Input.at("attempt").get<std::int64_t>()};
 }
 
-/// \returns the body of a VM's answer, or a failure where it is not a good one.
+/// \returns the parsed body of a VM's response, or a failure unless its status
+/// is 200.
 Result<nlohmann::json> parseReplyBody(const HttpResult &Reply) {
   if (!Reply)
     return tl::unexpected(Reply.error());
@@ -113,7 +116,8 @@
     Running.push_back(
         InventoryTask{parseTaskAttempt(Item), parseCapacity(Item)});
   reportEndedTasks(Body->at("ended"));
-  // Commands under the old fence are void; the scheduler decides anew.
+  // The VM rejects commands with an older fencing token; the scheduler decides
+  // again from the inventory.
   PendingStarts_.clear();
   PendingStops_.clear();
   UnconfirmedStops_.clear();
@@ -134,7 +138,8 @@
     Listener_.onClaimSuperseded(Claim_.Vm, Epoch, Holder);
     return;
   }
-  // A claim of this session's own overtook the call, or the VM is new.
+  // A later claim of this session overtook the call, or the VM has restarted
+  // and holds no claim.
   ClaimCount_ = std::max<int>(
       ClaimCount_,
       static_cast<int>(FencingToken & ((1 << ClaimCounterBits) - 1)));
@@ -148,7 +153,7 @@
     return;
   nlohmann::json Body = bodyWithFencingToken();
   Body["lease_ms"] = Config_.Times.TaskLease.count();
-  // Spread, so that the VMs of a domain do not all renew at once.
+  // A random wait keeps the VMs of a domain from renewing all at once.
   std::uniform_real_distribution<double> Spread(MinRenewalWaitFraction, 1.0);
   const auto Wait = std::chrono::duration_cast<milliseconds>(
       Config_.Times.TaskRenewal * Spread(Random_));
@@ -204,7 +209,7 @@
 
 void VmSession::handleLeaseCallFailure() {
   ++ConsecutiveFailures_;
-  // Half of the lease for trying again; then silence, so that it lapses.
+  // Retry for half of the lease; then send nothing more until it has lapsed.
   const bool ShouldAwaitLapse =
       MayRunTasks_ &&
       MonotonicClock_.now() - LastReplyAt_ > Config_.Times.TaskLease / 2;
@@ -290,8 +295,8 @@
     return;
   const auto Body = parseReplyBody(Reply);
   if (!Body) {
-    // The VM takes each attempt once, so sending it again is safe. Where the
-    // VM is lost or claimed anew, the new inventory settles it.
+    // The VM accepts each attempt only once, so resending is safe. If the VM is
+    // lost or claimed again, the new inventory shows which tasks started.
     PendingStarts_.insert(PendingStarts_.end(), Sent.begin(), Sent.end());
     ControlLoop_.after(RetryDelayMax, [Self = shared_from_this()] {
       Self->scheduleCommandBatch();
