--- a/packages/daemon/include/cuminroad/daemon/HttpReplies.h
+++ b/packages/daemon/include/cuminroad/daemon/HttpReplies.h
@@ -27,7 +27,7 @@
 HttpResponse jsonReply(int Status, const nlohmann::json &Body);
 /// \returns the response for an error: the status that fits its code, and a
 /// body with its number, name, message and detail.
-HttpResponse errorReply(const Error &Fault);
+HttpResponse errorReply(const Error &Failure);
 /// \returns the response for a request that got no response from a backend
 /// server or an owner. X-Outcome and the body show the outcome.
 HttpResponse outcomeReply(Outcome RequestOutcome, const Error &Cause);
--- a/packages/daemon/include/cuminroad/daemon/IdempotencyCache.h
+++ b/packages/daemon/include/cuminroad/daemon/IdempotencyCache.h
@@ -35,7 +35,7 @@
   /// \param Lifetime how long a ticket can be used and a response is cached.
   /// \param MaxResponseBytes limit on the bodies of all cached responses; the
   /// oldest ones are evicted first.
-  IdempotencyCache(const Clock &Clock, milliseconds Lifetime,
+  IdempotencyCache(const Clock &MonotonicClock, milliseconds Lifetime,
                    std::size_t MaxResponseBytes);
 
   /// Registers \p Key as not started, unless it is registered already.
@@ -67,7 +67,7 @@
   };
   void evictOldestResponses();
 
-  const Clock &Clock_;
+  const Clock &MonotonicClock_;
   milliseconds Lifetime_;
   std::size_t MaxResponseBytes_;
   /// Size of the bodies of all cached responses.
--- a/packages/daemon/include/cuminroad/daemon/JobStore.h
+++ b/packages/daemon/include/cuminroad/daemon/JobStore.h
@@ -95,11 +95,13 @@
   void scheduleWrite();
   void writeBatch();
   void addJobWrites(Transaction &Change, const std::string &Job);
-  void handleCommitResult(Batch Sent, const Result<CommitOutcome> &Outcome);
-  void handleCommitted(Batch Sent, std::int64_t Revision);
-  void handleConflict(Batch Sent, const std::vector<std::string> &Conflicts);
-  void handleUnavailable(Batch Sent);
-  void requeue(Batch &Sent);
+  void handleCommitResult(Batch SentBatch,
+                          const Result<CommitOutcome> &Outcome);
+  void handleCommitted(Batch SentBatch, std::int64_t Revision);
+  void handleConflict(Batch SentBatch,
+                      const std::vector<std::string> &Conflicts);
+  void handleUnavailable(Batch SentBatch);
+  void requeue(Batch &SentBatch);
   void resolveNameConflict(PendingCreation Creation);
   static std::string nameKey(const JobRow &Row);
 
--- a/packages/daemon/include/cuminroad/daemon/VmSession.h
+++ b/packages/daemon/include/cuminroad/daemon/VmSession.h
@@ -115,7 +115,8 @@
   void awaitLeaseLapse();
   void scheduleCommandBatch();
   void sendStarts();
-  void handleStartsReply(std::int64_t FencingToken, std::vector<StartTask> Sent,
+  void handleStartsReply(std::int64_t FencingToken,
+                         std::vector<StartTask> SentStarts,
                          const HttpResult &Reply);
   void sendStops();
   void handleStaleFencingToken(const HttpResult &Reply);
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -18,16 +18,16 @@
 constexpr std::size_t MaxCustomerLength = 100;
 
 std::vector<std::string> splitPath(std::string_view Path) {
-  std::vector<std::string> Out;
+  std::vector<std::string> Segments;
   while (!Path.empty()) {
     const std::size_t Start = Path.find_first_not_of('/');
     if (Start == std::string_view::npos)
       break;
     const std::size_t End = std::min(Path.find('/', Start), Path.size());
-    Out.emplace_back(Path.substr(Start, End - Start));
+    Segments.emplace_back(Path.substr(Start, End - Start));
     Path.remove_prefix(End);
   }
-  return Out;
+  return Segments;
 }
 
 /// Compares in a time that does not depend on how many characters match, so
@@ -74,11 +74,11 @@
           {"wait_reason", waitReasonName(View.Reason)}};
 }
 
-nlohmann::json contractJson(const KeptContract &Kept) {
-  nlohmann::json Out = toJson(Kept.Record);
-  if (const auto Effective = Kept.Record.effective())
-    Out["in_force"] = toJson(*Effective);
-  return Out;
+nlohmann::json contractJson(const KeptContract &Contract) {
+  nlohmann::json Output = toJson(Contract.Record);
+  if (const auto Effective = Contract.Record.effective())
+    Output["in_force"] = toJson(*Effective);
+  return Output;
 }
 
 /// Whether another domain may accept a job that one domain refused with \p
@@ -119,9 +119,9 @@
 
 bool Api::authorized(const HttpRequest &Request) const {
   const std::string_view Header = findHeader(Request.Headers, "Authorization");
-  constexpr std::string_view Scheme = "Bearer ";
-  return Header.starts_with(Scheme) &&
-         equalInConstantTime(Header.substr(Scheme.size()),
+  constexpr std::string_view SchemePrefix = "Bearer ";
+  return Header.starts_with(SchemePrefix) &&
+         equalInConstantTime(Header.substr(SchemePrefix.size()),
                              Components_.Config.OperatorToken);
 }
 
@@ -134,11 +134,11 @@
                      {},
                      Metrics_.render(Components_, Frontend_, GetPeerTraffic()),
                      "text/plain; version=0.0.4"});
-  const bool Known = Segments.size() >= 2 && Segments[0] == "v1";
-  if (Known && Segments[1] == "jobs" &&
+  const bool IsApiPath = Segments.size() >= 2 && Segments[0] == "v1";
+  if (IsApiPath && Segments[1] == "jobs" &&
       !(Segments.size() == 2 && Request.Method == "GET"))
     return handleJobs(Segments, Request, Respond);
-  if (!Known)
+  if (!IsApiPath)
     return Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
   // The remaining paths are for operators only.
   if (!authorized(Request))
@@ -195,7 +195,7 @@
     return Respond(std::move(FirstRefusal));
   const std::string Domain = Domains.front();
   Domains.erase(Domains.begin());
-  const HttpResponder Next = [=, this](HttpResponse Response) {
+  const HttpResponder RespondOrTryNext = [=, this](HttpResponse Response) {
     // After "not run" the next domain is tried. If all domains refuse, the
     // caller gets the refusal of this daemon's own domain, which is tried
     // first.
@@ -210,9 +210,9 @@
     });
   };
   if (Domain == Components_.Config.Domain && Components_.LocalOwner)
-    submitToLocalOwner(Request, Next);
+    submitToLocalOwner(Request, RespondOrTryNext);
   else
-    forwardToOwner(Domain, Request, Next);
+    forwardToOwner(Domain, Request, RespondOrTryNext);
 }
 
 void Api::submitToLocalOwner(const HttpRequest &Request,
@@ -304,11 +304,11 @@
 }
 
 void Api::listContracts(const HttpResponder &Respond) {
-  nlohmann::json Out = nlohmann::json::array();
-  for (const auto &[Customer, Kept] : Components_.SharedConfig.contracts())
-    Out.push_back(contractJson(Kept));
+  nlohmann::json Contracts = nlohmann::json::array();
+  for (const auto &[Customer, Contract] : Components_.SharedConfig.contracts())
+    Contracts.push_back(contractJson(Contract));
   Respond(
-      jsonReply(200, {{"contracts", Out},
+      jsonReply(200, {{"contracts", Contracts},
                       {"applied", Components_.SharedConfig.appliedVersion()}}));
 }
 
@@ -359,7 +359,7 @@
     Members.push_back({{"name", Member.Name},
                        {"failure_domain", Member.Domain},
                        {"http", Member.Http}});
-  nlohmann::json Out{
+  nlohmann::json Output{
       {"daemon", Components_.Self.Name},
       {"failure_domain", Components_.Self.Domain},
       {"is_owner", Components_.LocalOwner != nullptr},
@@ -370,45 +370,46 @@
       {"requests_waiting", Frontend_.waitingRequests()},
       {"daemons", Members}};
   if (Components_.LocalOwner) {
-    Out["vms"] = nlohmann::json::array();
+    Output["vms"] = nlohmann::json::array();
     for (const VmView &Vm : Components_.LocalOwner->vms())
-      Out["vms"].push_back({{"id", Vm.Id},
-                            {"condition", vmConditionName(Vm.Condition)},
-                            {"total", capacityJson(Vm.Total)},
-                            {"free", capacityJson(Vm.Free)},
-                            {"quarantined", Vm.Quarantined},
-                            {"reserved", Vm.Reserved},
-                            {"tasks", Vm.Tasks}});
-    Out["jobs"] = nlohmann::json::array();
+      Output["vms"].push_back({{"id", Vm.Id},
+                               {"condition", vmConditionName(Vm.Condition)},
+                               {"total", capacityJson(Vm.Total)},
+                               {"free", capacityJson(Vm.Free)},
+                               {"quarantined", Vm.Quarantined},
+                               {"reserved", Vm.Reserved},
+                               {"tasks", Vm.Tasks}});
+    Output["jobs"] = nlohmann::json::array();
     for (const JobView &Job : Components_.LocalOwner->jobs())
-      Out["jobs"].push_back(jobJson(Job));
+      Output["jobs"].push_back(jobJson(Job));
   }
-  Respond(jsonReply(200, Out));
+  Respond(jsonReply(200, Output));
 }
 
 void Api::showEvents(const HttpRequest &Request, const HttpResponder &Respond) {
   std::uint64_t After = 0;
   const std::string_view Text = Request.query("after");
   std::from_chars(Text.data(), Text.data() + Text.size(), After);
-  nlohmann::json Out = nlohmann::json::array();
-  for (const Event &Each : Components_.Events.since(After))
-    Out.push_back({{"stamp", Each.Stamp},
-                   {"event", static_cast<int>(Each.Id)},
-                   {"name", eventInfo(Each.Id).Name},
-                   {"subject", Each.Subject},
-                   {"detail", Each.Detail}});
+  nlohmann::json Events = nlohmann::json::array();
+  for (const Event &LogEvent : Components_.Events.since(After))
+    Events.push_back({{"stamp", LogEvent.Stamp},
+                      {"event", static_cast<int>(LogEvent.Id)},
+                      {"name", eventInfo(LogEvent.Id).Name},
+                      {"subject", LogEvent.Subject},
+                      {"detail", LogEvent.Detail}});
   Respond(
-      jsonReply(200, {{"process", Components_.Self.Name}, {"events", Out}}));
+      jsonReply(200, {{"process", Components_.Self.Name}, {"events", Events}}));
 }
 
 void Api::drainVm(const std::string &Vm, const HttpRequest &Request,
                   const HttpResponder &Respond) {
   if (Components_.LocalOwner) {
     const auto Vms = Components_.LocalOwner->vms();
-    const bool Known =
-        std::any_of(Vms.begin(), Vms.end(),
-                    [&](const VmView &Each) { return Each.Id == Vm; });
-    if (Known) {
+    const bool IsKnownVm =
+        std::any_of(Vms.begin(), Vms.end(), [&](const VmView &Candidate) {
+          return Candidate.Id == Vm;
+        });
+    if (IsKnownVm) {
       Components_.LocalOwner->drain(Vm);
       return Respond(jsonReply(202, {{"vm", Vm}, {"state", "leaving"}}));
     }
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -276,9 +276,9 @@
     return;
   }
   std::visit(
-      [this](const auto &Typed) {
-        Components_.Events.logicalClock().observe(Typed.Stamp);
-        handle(Typed);
+      [this](const auto &TypedMessage) {
+        Components_.Events.logicalClock().observe(TypedMessage.Stamp);
+        handle(TypedMessage);
       },
       *Message);
 }
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -119,16 +119,16 @@
     const std::string &Vm, const std::vector<InFlightRequest> &Requests,
     UntrackedRequests &Totals) const {
   const std::vector<std::string> TrackedHolders = Grants_.holders();
-  for (const InFlightRequest &Each : Requests) {
-    const bool Known =
+  for (const InFlightRequest &Request : Requests) {
+    const bool IsTracked =
         std::any_of(TrackedHolders.begin(), TrackedHolders.end(),
                     [&](const std::string &Holder) {
-                      return Each.Id.starts_with(requestIdPrefix(Holder));
+                      return Request.Id.starts_with(requestIdPrefix(Holder));
                     });
-    if (Known)
+    if (IsTracked)
       continue;
     ++Totals.CountByVm[Vm];
-    ++Totals.CountByCustomer[Each.Customer];
+    ++Totals.CountByCustomer[Request.Customer];
   }
 }
 
@@ -165,26 +165,26 @@
 
 void DomainOwner::applyVmList(const VmListing &Listing) {
   bool Changed = VmTableVersion_ == 0;
-  for (const ListedVm &Listed : Listing.Vms) {
-    KnownVm *Known = findVm(Listed.Spec.Id);
-    if (!Known) {
-      if (Listed.State != ListedState::Gone) {
-        addVm(Listed);
+  for (const ListedVm &ListEntry : Listing.Vms) {
+    KnownVm *Vm = findVm(ListEntry.Spec.Id);
+    if (!Vm) {
+      if (ListEntry.State != ListedState::Gone) {
+        addVm(ListEntry);
         Changed = true;
       }
       continue;
     }
-    const ListedState PreviousState = Known->ListEntry.State;
-    Known->ListEntry.State = Listed.State;
-    if (PreviousState == Listed.State)
+    const ListedState PreviousState = Vm->ListEntry.State;
+    Vm->ListEntry.State = ListEntry.State;
+    if (PreviousState == ListEntry.State)
       continue;
-    if (Listed.State == ListedState::Leaving)
-      onVmLeaving(Listed.Spec.Id);
-    if (Listed.State == ListedState::Gone) {
-      Context_.Events.record(EventId::VmGone, Listed.Spec.Id);
-      Known->Session->close();
-      Scheduler_->vmEmptied(Listed.Spec.Id, true);
-      updateVmSlots(Listed.Spec.Id);
+    if (ListEntry.State == ListedState::Leaving)
+      onVmLeaving(ListEntry.Spec.Id);
+    if (ListEntry.State == ListedState::Gone) {
+      Context_.Events.record(EventId::VmGone, ListEntry.Spec.Id);
+      Vm->Session->close();
+      Scheduler_->vmEmptied(ListEntry.Spec.Id, true);
+      updateVmSlots(ListEntry.Spec.Id);
     }
   }
   if (Changed)
@@ -199,18 +199,18 @@
   return Found == Vms_.end() ? nullptr : &Found->second;
 }
 
-void DomainOwner::addVm(const ListedVm &Listed) {
-  const std::string Id = Listed.Spec.Id;
+void DomainOwner::addVm(const ListedVm &ListEntry) {
+  const std::string Id = ListEntry.Spec.Id;
   KnownVm &Vm = Vms_[Id];
-  Vm.ListEntry = Listed;
-  Scheduler_->listVm(Listed.Spec);
+  Vm.ListEntry = ListEntry;
+  Scheduler_->listVm(ListEntry.Spec);
   Vm.Session = std::make_shared<VmSession>(
-      VmClaim{Id, Listed.Spec.Url, Term_.Epoch,
+      VmClaim{Id, ListEntry.Spec.Url, Term_.Epoch,
               Context_.Self.Name + "/" + Context_.Self.Incarnation},
       Context_.Config, Context_.MonotonicClock, Context_.Client,
       Context_.ControlLoop, *this);
   Vm.Session->start();
-  if (Listed.State == ListedState::Leaving)
+  if (ListEntry.State == ListedState::Leaving)
     onVmLeaving(Id);
 }
 
@@ -248,8 +248,8 @@
     Names.push_back(Member.Name);
   Grants_.setMembers(std::move(Names));
   std::map<std::string, ContractTerms> Effective;
-  for (const auto &[Customer, Kept] : Context_.SharedConfig.contracts())
-    if (const auto Terms = Kept.Record.effective())
+  for (const auto &[Customer, Contract] : Context_.SharedConfig.contracts())
+    if (const auto Terms = Contract.Record.effective())
       Effective.emplace(Customer, *Terms);
   for (const auto &[Customer, Terms] : Contracts_)
     if (!Effective.contains(Customer)) {
@@ -298,8 +298,8 @@
   if (Closed_ || !JobsLoaded_)
     return;
   Scheduler_->schedule();
-  for (const Command &Each : Scheduler_->takeCommands())
-    std::visit([this](const auto &Command) { execute(Command); }, Each);
+  for (const Command &NextCommand : Scheduler_->takeCommands())
+    std::visit([this](const auto &Command) { execute(Command); }, NextCommand);
 }
 
 void DomainOwner::execute(const StartTask &Command) {
--- a/packages/daemon/src/HttpReplies.cpp
+++ b/packages/daemon/src/HttpReplies.cpp
@@ -39,12 +39,12 @@
   }
 }
 
-nlohmann::json errorBody(const Error &Fault) {
-  const ErrorInfo &Info = errorInfo(Fault.Code);
-  return {{"number", static_cast<int>(Fault.Code)},
+nlohmann::json errorBody(const Error &Failure) {
+  const ErrorInfo &Info = errorInfo(Failure.Code);
+  return {{"number", static_cast<int>(Failure.Code)},
           {"name", Info.Name},
           {"message", Info.Message},
-          {"detail", Fault.Detail}};
+          {"detail", Failure.Detail}};
 }
 
 } // namespace
@@ -69,8 +69,8 @@
           "\n"};
 }
 
-HttpResponse errorReply(const Error &Fault) {
-  return jsonReply(statusOf(Fault.Code), {{"error", errorBody(Fault)}});
+HttpResponse errorReply(const Error &Failure) {
+  return jsonReply(statusOf(Failure.Code), {{"error", errorBody(Failure)}});
 }
 
 HttpResponse outcomeReply(Outcome RequestOutcome, const Error &Cause) {
--- a/packages/daemon/src/IdempotencyCache.cpp
+++ b/packages/daemon/src/IdempotencyCache.cpp
@@ -4,13 +4,15 @@
 
 namespace cuminroad {
 
-IdempotencyCache::IdempotencyCache(const Clock &Clock, milliseconds Lifetime,
+IdempotencyCache::IdempotencyCache(const Clock &MonotonicClock,
+                                   milliseconds Lifetime,
                                    std::size_t MaxResponseBytes)
-    : Clock_(Clock), Lifetime_(Lifetime), MaxResponseBytes_(MaxResponseBytes) {}
+    : MonotonicClock_(MonotonicClock), Lifetime_(Lifetime),
+      MaxResponseBytes_(MaxResponseBytes) {}
 
 void IdempotencyCache::add(const std::string &Key) {
   Entry New;
-  New.ExpiresAt = Clock_.now() + Lifetime_;
+  New.ExpiresAt = MonotonicClock_.now() + Lifetime_;
   Entries_.try_emplace(Key, std::move(New));
 }
 
@@ -23,7 +25,7 @@
 void IdempotencyCache::markInFlight(const std::string &Key) {
   Entry &Existing = Entries_[Key];
   Existing.State = IdempotencyState::InFlight;
-  Existing.ExpiresAt = Clock_.now() + Lifetime_;
+  Existing.ExpiresAt = MonotonicClock_.now() + Lifetime_;
 }
 
 void IdempotencyCache::markNotStarted(const std::string &Key) {
@@ -43,7 +45,7 @@
                            const HttpResponse &Response) {
   Entry &Existing = Entries_[Key];
   Existing.State = IdempotencyState::Completed;
-  Existing.ExpiresAt = Clock_.now() + Lifetime_;
+  Existing.ExpiresAt = MonotonicClock_.now() + Lifetime_;
   Existing.Response = Response;
   CachedBytes_ += Response.Body.size();
   CompletionOrder_.push_back(Key);
@@ -77,7 +79,7 @@
 }
 
 void IdempotencyCache::dropExpired() {
-  const TimePoint Now = Clock_.now();
+  const TimePoint Now = MonotonicClock_.now();
   std::erase_if(Entries_, [&](const auto &Item) {
     const Entry &Candidate = Item.second;
     if (Candidate.State == IdempotencyState::InFlight ||
--- a/packages/daemon/src/IdempotencyKeyStore.cpp
+++ b/packages/daemon/src/IdempotencyKeyStore.cpp
@@ -17,8 +17,8 @@
   try {
     return IdempotencyKeyClaim{Value.at("daemon").get<std::string>(),
                                Value.at("incarnation").get<std::string>()};
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::MalformedInput, Fault.what());
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::MalformedInput, Exception.what());
   }
 }
 
--- a/packages/daemon/src/JobRow.cpp
+++ b/packages/daemon/src/JobRow.cpp
@@ -16,22 +16,22 @@
 /// Packs sorted numbers into [first, last] ranges. This is compact, because the
 /// ended tasks of a job are mostly consecutive.
 template <typename Range> nlohmann::json packRanges(const Range &Numbers) {
-  nlohmann::json Out = nlohmann::json::array();
+  nlohmann::json Ranges = nlohmann::json::array();
   for (const int Number : Numbers) {
-    if (!Out.empty() && Out.back().at(1) == Number - 1)
-      Out.back()[1] = Number;
+    if (!Ranges.empty() && Ranges.back().at(1) == Number - 1)
+      Ranges.back()[1] = Number;
     else
-      Out.push_back({Number, Number});
+      Ranges.push_back({Number, Number});
   }
-  return Out;
+  return Ranges;
 }
 
 std::set<int> unpackRanges(const nlohmann::json &Input) {
-  std::set<int> Out;
+  std::set<int> Numbers;
   for (const nlohmann::json &Range : Input)
     for (int Number = Range.at(0); Number <= Range.at(1); ++Number)
-      Out.insert(Number);
-  return Out;
+      Numbers.insert(Number);
+  return Numbers;
 }
 
 } // namespace
@@ -63,8 +63,8 @@
       if (Outcome == Name)
         Row.Outcome = Value;
     return Row;
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::MalformedInput, Fault.what());
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::MalformedInput, Exception.what());
   }
 }
 
@@ -73,16 +73,16 @@
   std::set<int> Failed;
   for (const auto &[Index, HasFailed] : Row.Ended)
     (HasFailed ? Failed : Ended).insert(Index);
-  nlohmann::json Out{{"spec", toJson(Row.Spec)},
-                     {"name", Row.Name},
-                     {"accepted_ms", Row.AcceptedMs},
-                     {"ended", packRanges(Ended)},
-                     {"failed", packRanges(Failed)},
-                     {"recorded", packRanges(Row.RecordedStarts)},
-                     {"cancelled", Row.Cancelled}};
+  nlohmann::json Output{{"spec", toJson(Row.Spec)},
+                        {"name", Row.Name},
+                        {"accepted_ms", Row.AcceptedMs},
+                        {"ended", packRanges(Ended)},
+                        {"failed", packRanges(Failed)},
+                        {"recorded", packRanges(Row.RecordedStarts)},
+                        {"cancelled", Row.Cancelled}};
   if (Row.Outcome)
-    Out["outcome"] = jobOutcomeName(*Row.Outcome);
-  return Out;
+    Output["outcome"] = jobOutcomeName(*Row.Outcome);
+  return Output;
 }
 
 } // namespace cuminroad
--- a/packages/daemon/src/JobStore.cpp
+++ b/packages/daemon/src/JobStore.cpp
@@ -56,15 +56,15 @@
                                            [Self, Done] { Self->load(Done); });
                   return;
                 }
-                std::vector<JobRow> Out;
+                std::vector<JobRow> LoadedJobs;
                 for (const TableRow &Row : *Rows) {
                   const auto Job = parseJobRow(Row.Value);
                   if (!Job)
                     continue;
                   Self->Jobs_[Job->Spec.Id] = StoredJob{*Job, true, false, {}};
-                  Out.push_back(*Job);
+                  LoadedJobs.push_back(*Job);
                 }
-                Done(std::move(Out));
+                Done(std::move(LoadedJobs));
               });
 }
 
@@ -173,66 +173,68 @@
   Change.Checks = {{markerKey(), MarkerVersion_},
                    {Scope_.EpochKey, Scope_.EpochVersion}};
   Change.Writes = {{markerKey(), {{"epoch", Scope_.EpochVersion}}}};
-  Batch Sent = std::exchange(NextBatch_, {});
-  while (Sent.Jobs.size() > MaxJobsPerWrite) {
+  Batch SentBatch = std::exchange(NextBatch_, {});
+  while (SentBatch.Jobs.size() > MaxJobsPerWrite) {
     // The callbacks stay with the last part, so that none is called before its
     // change is committed.
-    NextBatch_.Jobs.insert(Sent.Jobs.extract(std::prev(Sent.Jobs.end())));
+    NextBatch_.Jobs.insert(
+        SentBatch.Jobs.extract(std::prev(SentBatch.Jobs.end())));
   }
   if (!NextBatch_.Jobs.empty()) {
-    NextBatch_.Callbacks.swap(Sent.Callbacks);
-    NextBatch_.Ends.swap(Sent.Ends);
+    NextBatch_.Callbacks.swap(SentBatch.Callbacks);
+    NextBatch_.Ends.swap(SentBatch.Ends);
     const auto FirstDeferred =
-        std::partition(Sent.Creations.begin(), Sent.Creations.end(),
-                       [&](const PendingCreation &Each) {
-                         return Sent.Jobs.contains(Each.Job);
+        std::partition(SentBatch.Creations.begin(), SentBatch.Creations.end(),
+                       [&](const PendingCreation &Creation) {
+                         return SentBatch.Jobs.contains(Creation.Job);
                        });
-    NextBatch_.Creations.assign(std::make_move_iterator(FirstDeferred),
-                                std::make_move_iterator(Sent.Creations.end()));
-    Sent.Creations.erase(FirstDeferred, Sent.Creations.end());
+    NextBatch_.Creations.assign(
+        std::make_move_iterator(FirstDeferred),
+        std::make_move_iterator(SentBatch.Creations.end()));
+    SentBatch.Creations.erase(FirstDeferred, SentBatch.Creations.end());
   }
-  for (const std::string &Job : Sent.Jobs)
+  for (const std::string &Job : SentBatch.Jobs)
     addJobWrites(Change, Job);
-  auto SharedBatch = std::make_shared<Batch>(std::move(Sent));
+  auto SharedBatch = std::make_shared<Batch>(std::move(SentBatch));
   Table_.commit(std::move(Change), [Self = shared_from_this(), SharedBatch](
                                        Result<CommitOutcome> Outcome) {
     Self->handleCommitResult(std::move(*SharedBatch), Outcome);
   });
 }
 
-void JobStore::handleCommitResult(Batch Sent,
+void JobStore::handleCommitResult(Batch SentBatch,
                                   const Result<CommitOutcome> &Outcome) {
   WriteInProgress_ = false;
   if (!Outcome)
-    handleUnavailable(std::move(Sent));
+    handleUnavailable(std::move(SentBatch));
   else if (Outcome->committed())
-    handleCommitted(std::move(Sent), Outcome->Revision);
+    handleCommitted(std::move(SentBatch), Outcome->Revision);
   else
-    handleConflict(std::move(Sent), Outcome->Conflicts);
+    handleConflict(std::move(SentBatch), Outcome->Conflicts);
   if (!NextBatch_.Jobs.empty() && !WriteInProgress_)
     scheduleWrite();
 }
 
-void JobStore::handleCommitted(Batch Sent, std::int64_t Revision) {
+void JobStore::handleCommitted(Batch SentBatch, std::int64_t Revision) {
   MarkerVersion_ = Revision;
-  for (const TaskRef &Task : Sent.Ends)
+  for (const TaskRef &Task : SentBatch.Ends)
     Jobs_.at(Task.Job).UnwrittenEnds.erase(Task.Index);
-  for (const std::string &Job : Sent.Jobs) {
+  for (const std::string &Job : SentBatch.Jobs) {
     const auto Found = Jobs_.find(Job);
     Found->second.InTable = true;
     if (Found->second.Finished && !NextBatch_.Jobs.contains(Job))
       Jobs_.erase(Found);
   }
   if (!Closed_)
-    for (const CommitCallback &Each : Sent.Callbacks)
-      Each();
+    for (const CommitCallback &Callback : SentBatch.Callbacks)
+      Callback();
   // Report a committed creation even if the store was closed meanwhile, because
   // the next owner will load the job.
-  for (const PendingCreation &Each : Sent.Creations)
-    Each.Done(Each.Job);
+  for (const PendingCreation &Creation : SentBatch.Creations)
+    Creation.Done(Creation.Job);
 }
 
-void JobStore::handleConflict(Batch Sent,
+void JobStore::handleConflict(Batch SentBatch,
                               const std::vector<std::string> &Conflicts) {
   const auto HasConflict = [&](const std::string &Key) {
     return std::find(Conflicts.begin(), Conflicts.end(), Key) !=
@@ -240,41 +242,41 @@
   };
   std::vector<PendingCreation> NameTaken;
   std::vector<PendingCreation> ToRetry;
-  for (PendingCreation &Each : Sent.Creations) {
-    if (HasConflict(nameKey(Jobs_.at(Each.Job).Row)))
-      NameTaken.push_back(std::move(Each));
+  for (PendingCreation &Creation : SentBatch.Creations) {
+    if (HasConflict(nameKey(Jobs_.at(Creation.Job).Row)))
+      NameTaken.push_back(std::move(Creation));
     else
-      ToRetry.push_back(std::move(Each));
+      ToRetry.push_back(std::move(Creation));
   }
   if (Closed_ || NameTaken.empty()) {
-    for (PendingCreation &Each : ToRetry)
-      Each.Done(failure(ErrorCode::NoOwner));
-    for (PendingCreation &Each : NameTaken)
-      Each.Done(failure(ErrorCode::NoOwner));
+    for (PendingCreation &Creation : ToRetry)
+      Creation.Done(failure(ErrorCode::NoOwner));
+    for (PendingCreation &Creation : NameTaken)
+      Creation.Done(failure(ErrorCode::NoOwner));
     if (!Closed_ && OnSuperseded)
       OnSuperseded();
     return;
   }
-  for (PendingCreation &Each : NameTaken) {
-    Sent.Jobs.erase(Each.Job);
-    resolveNameConflict(std::move(Each));
+  for (PendingCreation &Creation : NameTaken) {
+    SentBatch.Jobs.erase(Creation.Job);
+    resolveNameConflict(std::move(Creation));
   }
-  requeue(Sent);
+  requeue(SentBatch);
   std::move(ToRetry.begin(), ToRetry.end(),
             std::back_inserter(NextBatch_.Creations));
 }
 
-void JobStore::handleUnavailable(Batch Sent) {
+void JobStore::handleUnavailable(Batch SentBatch) {
   // Certainly nothing was written: refuse new jobs, and retry the other
   // changes.
-  for (const PendingCreation &Each : Sent.Creations) {
-    Sent.Jobs.erase(Each.Job);
-    Jobs_.erase(Each.Job);
-    Each.Done(failure(ErrorCode::PlatformUnavailable));
+  for (const PendingCreation &Creation : SentBatch.Creations) {
+    SentBatch.Jobs.erase(Creation.Job);
+    Jobs_.erase(Creation.Job);
+    Creation.Done(failure(ErrorCode::PlatformUnavailable));
   }
   if (Closed_)
     return;
-  requeue(Sent);
+  requeue(SentBatch);
   if (NextBatch_.Jobs.empty())
     return;
   WriteInProgress_ = true;
@@ -282,11 +284,11 @@
                      [Self = shared_from_this()] { Self->writeBatch(); });
 }
 
-void JobStore::requeue(Batch &Sent) {
-  NextBatch_.Jobs.merge(Sent.Jobs);
-  std::move(Sent.Callbacks.begin(), Sent.Callbacks.end(),
+void JobStore::requeue(Batch &SentBatch) {
+  NextBatch_.Jobs.merge(SentBatch.Jobs);
+  std::move(SentBatch.Callbacks.begin(), SentBatch.Callbacks.end(),
             std::back_inserter(NextBatch_.Callbacks));
-  std::move(Sent.Ends.begin(), Sent.Ends.end(),
+  std::move(SentBatch.Ends.begin(), SentBatch.Ends.end(),
             std::back_inserter(NextBatch_.Ends));
 }
 
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -38,19 +38,19 @@
 std::string Metrics::render(const DaemonComponents &Components,
                             const RequestFrontend &Frontend,
                             const PeerTraffic &PeerMessages) {
-  const RequestOutcomeCounts Counts = Frontend.outcomeCounts();
-  const TableUse Use = Components.PlatformTable.use();
-  const HttpTraffic Traffic = Components.ControlClient->traffic();
+  const RequestOutcomeCounts Outcomes = Frontend.outcomeCounts();
+  const TableUse TableCalls = Components.PlatformTable.use();
+  const HttpTraffic ControlTraffic = Components.ControlClient->traffic();
   const auto Number = [](auto Value) { return static_cast<double>(Value); };
   setGauge("cuminroad_requests_done_total", "Requests answered whole.",
-           Number(Counts.Done));
+           Number(Outcomes.Done));
   setGauge("cuminroad_requests_not_run_total", "Requests certainly not run.",
-           Number(Counts.NotRun));
+           Number(Outcomes.NotRun));
   setGauge("cuminroad_requests_unknown_total",
            "Requests that may have run without an answer.",
-           Number(Counts.Unknown));
+           Number(Outcomes.Unknown));
   setGauge("cuminroad_request_retries_total", "Requests sent again.",
-           Number(Counts.Retries));
+           Number(Outcomes.Retries));
   setGauge("cuminroad_requests_waiting", "Requests that wait for a slot.",
            Number(Frontend.waitingRequests()));
   setGauge("cuminroad_owner", "1 while this daemon owns its failure domain.",
@@ -62,14 +62,15 @@
   setGauge("cuminroad_config_version", "Version of the configuration applied.",
            Number(Components.SharedConfig.appliedVersion()));
   setGauge("cuminroad_table_writes_total", "Transactions sent to the table.",
-           Number(Use.Writes));
+           Number(TableCalls.Writes));
   setGauge("cuminroad_table_reads_total", "Reads sent to the table.",
-           Number(Use.Reads));
+           Number(TableCalls.Reads));
   setGauge("cuminroad_control_sent_bytes_total",
-           "Bytes of control calls over HTTP sent.", Number(Traffic.BytesSent));
+           "Bytes of control calls over HTTP sent.",
+           Number(ControlTraffic.BytesSent));
   setGauge("cuminroad_control_received_bytes_total",
            "Bytes of control calls over HTTP received.",
-           Number(Traffic.BytesReceived));
+           Number(ControlTraffic.BytesReceived));
   setGauge("cuminroad_peer_sent_bytes_total",
            "Bytes of messages sent to other daemons.",
            Number(PeerMessages.Sent));
--- a/packages/daemon/src/RequestFrontend.cpp
+++ b/packages/daemon/src/RequestFrontend.cpp
@@ -26,9 +26,10 @@
 
 std::optional<milliseconds> parseMillis(std::string_view Text) {
   std::int64_t Value = 0;
-  const auto [End, Fault] =
+  const auto [End, ParseError] =
       std::from_chars(Text.data(), Text.data() + Text.size(), Value);
-  if (Fault != std::errc() || End != Text.data() + Text.size() || Value <= 0)
+  if (ParseError != std::errc() || End != Text.data() + Text.size() ||
+      Value <= 0)
     return std::nullopt;
   return milliseconds(Value);
 }
--- a/packages/daemon/src/VmSession.cpp
+++ b/packages/daemon/src/VmSession.cpp
@@ -270,26 +270,26 @@
 void VmSession::sendStarts() {
   if (PendingStarts_.empty())
     return;
-  const std::vector<StartTask> Sent = std::exchange(PendingStarts_, {});
+  const std::vector<StartTask> SentStarts = std::exchange(PendingStarts_, {});
   nlohmann::json Body = bodyWithFencingToken();
   Body["tasks"] = nlohmann::json::array();
-  for (const StartTask &Each : Sent) {
-    nlohmann::json Item = toJson(Each.Task);
-    Item["milli_cores"] = Each.Size.MilliCores;
-    Item["memory_mb"] = Each.Size.MemoryMb;
-    Item["accelerators"] = Each.Size.Accelerators;
-    Item["duration_ms"] = Each.Duration.count();
+  for (const StartTask &Command : SentStarts) {
+    nlohmann::json Item = toJson(Command.Task);
+    Item["milli_cores"] = Command.Size.MilliCores;
+    Item["memory_mb"] = Command.Size.MemoryMb;
+    Item["accelerators"] = Command.Size.Accelerators;
+    Item["duration_ms"] = Command.Duration.count();
     Body["tasks"].push_back(std::move(Item));
   }
   const std::int64_t FencingToken = FencingToken_;
   postToVm("start", Body, CallTimeout,
-           [this, FencingToken, Sent](const HttpResult &Reply) {
-             handleStartsReply(FencingToken, Sent, Reply);
+           [this, FencingToken, SentStarts](const HttpResult &Reply) {
+             handleStartsReply(FencingToken, SentStarts, Reply);
            });
 }
 
 void VmSession::handleStartsReply(std::int64_t FencingToken,
-                                  std::vector<StartTask> Sent,
+                                  std::vector<StartTask> SentStarts,
                                   const HttpResult &Reply) {
   if (FencingToken != FencingToken_)
     return;
@@ -297,46 +297,47 @@
   if (!Body) {
     // The VM accepts each attempt only once, so resending is safe. If the VM is
     // lost or claimed again, the new inventory shows which tasks started.
-    PendingStarts_.insert(PendingStarts_.end(), Sent.begin(), Sent.end());
+    PendingStarts_.insert(PendingStarts_.end(), SentStarts.begin(),
+                          SentStarts.end());
     ControlLoop_.after(RetryDelayMax, [Self = shared_from_this()] {
       Self->scheduleCommandBatch();
     });
     return;
   }
   const nlohmann::json &Results = Body->at("results");
-  for (std::size_t Index = 0; Index < Sent.size(); ++Index) {
+  for (std::size_t Index = 0; Index < SentStarts.size(); ++Index) {
     const std::string Result = Results.at(Index).get<std::string>();
     if (Result == "started")
-      Listener_.onTaskStarted(Claim_.Vm, Sent[Index].Task);
+      Listener_.onTaskStarted(Claim_.Vm, SentStarts[Index].Task);
     else
-      Listener_.onStartRefused(Claim_.Vm, Sent[Index].Task, Result);
+      Listener_.onStartRefused(Claim_.Vm, SentStarts[Index].Task, Result);
   }
 }
 
 void VmSession::sendStops() {
   for (const bool Checkpoint : {false, true}) {
-    std::vector<StopTask> Sent;
-    for (const StopTask &Each : PendingStops_)
-      if (Each.Checkpoint == Checkpoint)
-        Sent.push_back(Each);
-    if (Sent.empty())
+    std::vector<StopTask> SentStops;
+    for (const StopTask &Command : PendingStops_)
+      if (Command.Checkpoint == Checkpoint)
+        SentStops.push_back(Command);
+    if (SentStops.empty())
       continue;
     nlohmann::json Body = bodyWithFencingToken();
     Body["checkpoint"] = Checkpoint;
     Body["tasks"] = nlohmann::json::array();
-    for (const StopTask &Each : Sent) {
-      Body["tasks"].push_back(toJson(Each.Task));
-      UnconfirmedStops_.insert(Each.Task);
+    for (const StopTask &Command : SentStops) {
+      Body["tasks"].push_back(toJson(Command.Task));
+      UnconfirmedStops_.insert(Command.Task);
     }
     const std::int64_t FencingToken = FencingToken_;
     postToVm("stop", Body, CallTimeout,
-             [this, FencingToken, Sent](const HttpResult &Reply) {
+             [this, FencingToken, SentStops](const HttpResult &Reply) {
                if (FencingToken != FencingToken_ ||
                    (Reply && Reply->Status == StatusOk))
                  return;
-               for (const StopTask &Each : Sent)
-                 if (UnconfirmedStops_.contains(Each.Task))
-                   PendingStops_.push_back(Each);
+               for (const StopTask &Command : SentStops)
+                 if (UnconfirmedStops_.contains(Command.Task))
+                   PendingStops_.push_back(Command);
                ControlLoop_.after(RetryDelayMax, [Self = shared_from_this()] {
                  Self->scheduleCommandBatch();
                });
