--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -69,12 +69,15 @@
   /// Applies changed contracts and members of the shared configuration.
   void configChanged();
 
+  /// Checks a new job and stores it in the table. \p Done receives its id, or
+  /// the id of the existing job with the same name.
   void submit(JobSpec Spec, SubmitCallback Done);
   /// Cancels an unfinished job. \p Done is called once the cancellation is
   /// stored in the table.
   void cancel(const std::string &Job, std::function<void(Result<void>)> Done);
   /// Stops placing new work on a VM.
   void drain(const std::string &Vm);
+  /// Applies what a frontend reports. \returns the grants that it may use now.
   GrantReply handleGrantRequest(const GrantRequest &Request);
 
   std::optional<JobView> job(const std::string &Id) const;
@@ -92,7 +95,7 @@
   std::function<void()> OnGrantsChanged;
   /// Called with the names of the daemons that should renew their grants now.
   std::function<void(const std::vector<std::string> &)> OnGrantRenewalWanted;
-  /// Called with the names of the daemons whose entry VM is finally gone.
+  /// Called with the names of the daemons whose entry VM is permanently gone.
   std::function<void(const std::vector<std::string> &)> OnEntryVmsGone;
 
   void onVmClaimed(const std::string &Vm,
@@ -126,7 +129,7 @@
 
   void pollVmList();
   void applyVmList(const VmListing &Listing);
-  void addVm(const ListedVm &Listed);
+  void addVm(const ListedVm &ListEntry);
   void recoverJobs(const std::vector<JobRow> &Rows);
   void runSchedulerPeriodically();
   void runScheduler();
--- a/packages/daemon/include/cuminroad/daemon/IdempotencyKeyStore.h
+++ b/packages/daemon/include/cuminroad/daemon/IdempotencyKeyStore.h
@@ -40,7 +40,7 @@
   void writeBatch();
   void handleCommitResult(std::vector<PendingClaim> Batch,
                           const Result<CommitOutcome> &Outcome);
-  void readExistingClaim(PendingClaim Taken);
+  void readExistingClaim(PendingClaim Claim);
 
   Table &Table_;
   Loop &ControlLoop_;
--- a/packages/daemon/include/cuminroad/daemon/JobStore.h
+++ b/packages/daemon/include/cuminroad/daemon/JobStore.h
@@ -15,7 +15,7 @@
 namespace cuminroad {
 
 /// The domain whose jobs a store writes, and the row that shows whether the
-/// store's owner is still in office.
+/// store may still write.
 struct JobStoreScope {
   std::string Domain;
   /// Key and version of the epoch row, which changes only when the domain gets
--- a/packages/daemon/include/cuminroad/daemon/RequestFrontend.h
+++ b/packages/daemon/include/cuminroad/daemon/RequestFrontend.h
@@ -53,8 +53,8 @@
 
 /// Accepts callers' service requests, queues each until a slot on a backend
 /// server's VM is free, sends it there, and returns the complete response. Safe
-/// to use from any thread: a mutex guards its state and is never held while
-/// code outside of this class is called back.
+/// to use from any thread: a mutex guards its state, and is never held while a
+/// callback runs or a message is sent.
 ///
 /// Invariants: a request that is not idempotent is sent again only when it is
 /// certain that it did not run. The outcome is "not run" only when no backend
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -99,8 +99,8 @@
     const bool Ready = IsReady();
     return Respond(jsonReply(Ready ? 200 : 503, {{"ready", Ready}}));
   }
-  const bool Post = Request.Method == "POST";
-  if (Post && Segments.size() == 6 && Segments[0] == "v1" &&
+  const bool IsPost = Request.Method == "POST";
+  if (IsPost && Segments.size() == 6 && Segments[0] == "v1" &&
       Segments[1] == "customers" && Segments[3] == "services" &&
       Segments[5] == "requests") {
     if (!Components_.SharedConfig.ready())
@@ -109,7 +109,7 @@
     return Frontend_.handleRequest(Segments[2], Segments[4], std::move(Request),
                                    std::move(Respond));
   }
-  if (Post && Request.Path == "/v1/tickets")
+  if (IsPost && Request.Path == "/v1/tickets")
     return Respond(Frontend_.issueTicket());
   Components_.ControlLoop->post([this, Segments, Request = std::move(Request),
                                  Respond = std::move(Respond)] {
@@ -237,9 +237,9 @@
 
 void Api::showJob(const std::string &Id, const HttpRequest &Request,
                   const HttpResponder &Respond) {
-  const bool Local =
+  const bool IsLocalJob =
       domainOfJob(Id) == Components_.Config.Domain && Components_.LocalOwner;
-  if (Local) {
+  if (IsLocalJob) {
     if (const auto View = Components_.LocalOwner->job(Id))
       return Respond(jsonReply(200, jobJson(*View)));
     return readFinishedJob(Id, Respond);
@@ -422,15 +422,16 @@
 
 void Api::forwardToOwner(const std::string &Domain, const HttpRequest &Request,
                          HttpResponder Respond) {
-  const HttpResponse NoOwner =
+  const HttpResponse NoOwnerResponse =
       outcomeReply(Outcome::NotRun, Error{ErrorCode::NoOwner, Domain});
-  const bool Forwarded = !findHeader(Request.Headers, "X-Forwarded-By").empty();
-  if (Forwarded)
-    return Respond(NoOwner);
+  const bool AlreadyForwarded =
+      !findHeader(Request.Headers, "X-Forwarded-By").empty();
+  if (AlreadyForwarded)
+    return Respond(NoOwnerResponse);
   if (Domain == Components_.Config.Domain) {
     const OwnerInfo &Owner = Components_.DomainOwnership.owner();
     if (Owner.Http.empty() || Owner.Holder == Components_.Self.Name)
-      return Respond(NoOwner);
+      return Respond(NoOwnerResponse);
     return forwardToDaemon(Owner.Http, Request, std::move(Respond));
   }
   const auto &Domains = Components_.Config.Domains;
@@ -438,10 +439,10 @@
     return Respond(errorReply(Error{ErrorCode::UnknownJob, Domain}));
   Components_.RetryingTable.read(
       "owner/" + Domain,
-      [this, Request, Respond, NoOwner](Result<TableRow> Row) {
+      [this, Request, Respond, NoOwnerResponse](Result<TableRow> Row) {
         const std::string Http = Row ? Row->Value.value("http", "") : "";
         if (Http.empty())
-          return Respond(NoOwner);
+          return Respond(NoOwnerResponse);
         forwardToDaemon(Http, Request, Respond);
       });
 }
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds ResponseExpiryInterval{1000};
 /// Delay of a grant request after its cause, so that several causes share one.
 constexpr milliseconds GrantRequestDelay{5};
-/// Shortest time between two grant requests outside of the periodic ones;
+/// Shortest time from a grant request to the next one that isn't periodic;
 /// limits the control traffic during an overload.
 constexpr milliseconds MinGrantRequestInterval{100};
 /// Interval of reading the VM list that a later owner starts from.
@@ -83,8 +83,8 @@
               Components_.Members, Components_.IdempotencyKeys},
           [this] { scheduleGrantRequest(); }),
       Api_(Components_, Frontend_, Metrics_), Takeover_(Components_) {
-  Frontend_.OnStartWait = [this](double Wait) {
-    Metrics_.observeStartWait(Wait);
+  Frontend_.OnStartWait = [this](double WaitMs) {
+    Metrics_.observeStartWait(WaitMs);
   };
   Api_.IsReady = [this] {
     return Components_.SharedConfig.ready() && !ShuttingDown_;
--- a/packages/daemon/src/DaemonComponents.h
+++ b/packages/daemon/src/DaemonComponents.h
@@ -27,8 +27,8 @@
 struct DaemonComponents {
   explicit DaemonComponents(const Settings &Settings);
 
-  /// How often a transaction is sent while its caller waits for the outcome;
-  /// takes about ten seconds in total.
+  /// How often a transaction is sent at most while its caller waits for the
+  /// outcome; all attempts together take about ten seconds.
   static constexpr int CallerWriteAttempts = 8;
   /// For transactions whose outcome must be known before work can continue.
   static constexpr int UnlimitedWriteAttempts = std::numeric_limits<int>::max();
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -14,10 +14,12 @@
 /// Interval of scheduling passes without an event, for work that becomes due by
 /// time alone.
 constexpr milliseconds ScheduleInterval{50};
-/// Added to the time after which an earlier owner's grants have lapsed, for
-/// clock differences and message delays.
+/// Added to the time after which an earlier owner's grants have lapsed and the
+/// requests started on them have ended, for clock differences and message
+/// delays.
 constexpr milliseconds GrantSettleMargin{3000};
-/// The same where the VMs are asked for their requests in flight.
+/// Added to the time after which no frontend starts requests on those grants;
+/// the VMs are then asked for the requests still in flight.
 constexpr milliseconds EarlyGrantSettleMargin{500};
 
 std::int64_t unixTimeMillis() {
@@ -147,11 +149,11 @@
       [Self = shared_from_this()](const Result<VmListing> &Listing) {
         if (Self->Closed_)
           return;
-        const bool First = !std::exchange(
+        const bool IsFirstRead = !std::exchange(
             Self->VmListRead_, Listing.has_value() || Self->VmListRead_);
         if (Listing)
           Self->applyVmList(*Listing);
-        if (Listing && First && Self->Term_.EpochVersion != 0)
+        if (Listing && IsFirstRead && Self->Term_.EpochVersion != 0)
           Self->Jobs_->load([Self](const std::vector<JobRow> &Rows) {
             Self->recoverJobs(Rows);
           });
@@ -164,13 +166,13 @@
 }
 
 void DomainOwner::applyVmList(const VmListing &Listing) {
-  bool Changed = VmTableVersion_ == 0;
+  bool TableChanged = VmTableVersion_ == 0;
   for (const ListedVm &ListEntry : Listing.Vms) {
     KnownVm *Vm = findVm(ListEntry.Spec.Id);
     if (!Vm) {
       if (ListEntry.State != ListedState::Gone) {
         addVm(ListEntry);
-        Changed = true;
+        TableChanged = true;
       }
       continue;
     }
@@ -187,7 +189,7 @@
       updateVmSlots(ListEntry.Spec.Id);
     }
   }
-  if (Changed)
+  if (TableChanged)
     ++VmTableVersion_;
   if (OnEntryVmsGone && !Listing.GoneEntries.empty())
     OnEntryVmsGone(Listing.GoneEntries);
@@ -349,12 +351,12 @@
   const auto Contract = Contracts_.find(Spec.Customer);
   if (Contract == Contracts_.end())
     return Done(failure(ErrorCode::UnknownCustomer, Spec.Customer));
-  const auto Checked = Scheduler_->check(
+  const auto CheckResult = Scheduler_->check(
       Spec, Shares_->largestShare(Spec.Customer, Contract->second).MaxHeld);
-  if (!Checked) {
+  if (!CheckResult) {
     Context_.Events.record(EventId::JobRefused, Spec.Customer,
-                           Checked.error().text());
-    return Done(tl::unexpected(Checked.error()));
+                           CheckResult.error().text());
+    return Done(tl::unexpected(CheckResult.error()));
   }
   JobRow Row;
   Row.Name = Spec.Id;
--- a/packages/daemon/src/DomainOwnerVmEvents.cpp
+++ b/packages/daemon/src/DomainOwnerVmEvents.cpp
@@ -10,10 +10,10 @@
 
 void DomainOwner::updateVmSlots(const std::string &Id) {
   const KnownVm &Vm = Vms_.at(Id);
-  const bool Usable = Vm.Session->held() && !Vm.Leaving &&
-                      Vm.ListEntry.State == ListedState::Live;
+  const bool IsUsable = Vm.Session->held() && !Vm.Leaving &&
+                        Vm.ListEntry.State == ListedState::Live;
   Grants_.setVm(Id, Vm.ListEntry.Spec.Service,
-                Usable ? Vm.ListEntry.Spec.Slots : 0);
+                IsUsable ? Vm.ListEntry.Spec.Slots : 0);
 }
 
 void DomainOwner::onVmClaimed(const std::string &Id,
--- a/packages/daemon/src/IdempotencyKeyStore.cpp
+++ b/packages/daemon/src/IdempotencyKeyStore.cpp
@@ -79,17 +79,18 @@
       Entry.Done(IdempotencyKeyClaim{Self_.Name, Self_.Incarnation}, true);
       continue;
     }
-    const auto &Taken = Outcome->Conflicts;
-    if (std::find(Taken.begin(), Taken.end(), Entry.Key) != Taken.end())
+    const auto &Conflicts = Outcome->Conflicts;
+    if (std::find(Conflicts.begin(), Conflicts.end(), Entry.Key) !=
+        Conflicts.end())
       readExistingClaim(std::move(Entry));
     else
       Queue_.push_back(std::move(Entry));
   }
 }
 
-void IdempotencyKeyStore::readExistingClaim(PendingClaim Taken) {
-  const std::string Key = Taken.Key;
-  Table_.read(Key, [Done = std::move(Taken.Done)](Result<TableRow> Row) {
+void IdempotencyKeyStore::readExistingClaim(PendingClaim Claim) {
+  const std::string Key = Claim.Key;
+  Table_.read(Key, [Done = std::move(Claim.Done)](Result<TableRow> Row) {
     if (Row)
       Done(parseClaim(Row->Value), false);
     else
--- a/packages/daemon/src/RequestFrontend.cpp
+++ b/packages/daemon/src/RequestFrontend.cpp
@@ -80,22 +80,23 @@
                                      const std::string &Service) const {
   RequestOptions Parsed;
   Parsed.Deadline = Context_.Config.Times.MaxRequestTime;
-  const std::string_view Deadline =
+  const std::string_view DeadlineHeader =
       findHeader(Request.Headers, "X-Deadline-Ms");
-  if (!Deadline.empty()) {
-    const auto Value = parseMillis(Deadline);
+  if (!DeadlineHeader.empty()) {
+    const auto Value = parseMillis(DeadlineHeader);
     if (!Value || *Value > Context_.Config.Times.MaxRequestTime)
       return failure(ErrorCode::ValueOutOfRange, "X-Deadline-Ms");
     Parsed.Deadline = *Value;
   }
-  const std::string_view Idempotent =
+  const std::string_view IdempotentHeader =
       findHeader(Request.Headers, "X-Idempotent");
-  if (!Idempotent.empty() && Idempotent != "true" && Idempotent != "false")
+  if (!IdempotentHeader.empty() && IdempotentHeader != "true" &&
+      IdempotentHeader != "false")
     return failure(ErrorCode::ValueOutOfRange, "X-Idempotent");
-  const bool NeverRepeat =
+  const bool MustNotRepeat =
       std::find(Terms.NeverRepeat.begin(), Terms.NeverRepeat.end(), Service) !=
       Terms.NeverRepeat.end();
-  Parsed.Idempotent = Idempotent == "true" && !NeverRepeat;
+  Parsed.Idempotent = IdempotentHeader == "true" && !MustNotRepeat;
   Parsed.Key = findHeader(Request.Headers, "Idempotency-Key");
   Parsed.Ticket = findHeader(Request.Headers, "X-Ticket");
   if (!Parsed.Key.empty() && !Parsed.Ticket.empty())
@@ -266,17 +267,19 @@
                                       const HttpRequest &Request,
                                       HttpResponder Respond) {
   const auto Member = Context_.Members.find(Daemon);
-  const bool Forwarded = !findHeader(Request.Headers, "X-Forwarded-By").empty();
-  if (!Member || Member->Incarnation != Incarnation || Forwarded)
+  const bool AlreadyForwarded =
+      !findHeader(Request.Headers, "X-Forwarded-By").empty();
+  if (!Member || Member->Incarnation != Incarnation || AlreadyForwarded)
     return Respond(outcomeReply(Outcome::Unknown,
                                 Error{ErrorCode::TicketOwnerGone, Daemon}));
   HttpCall Call;
   Call.Method = Request.Method;
   Call.Url = Context_.Config.reachable("http://" + Member->Http + Request.Path);
-  for (const char *Name : {"X-Deadline-Ms", "X-Idempotent", "Idempotency-Key",
-                           "X-Ticket", "Content-Type"})
-    if (const auto Value = findHeader(Request.Headers, Name); !Value.empty())
-      Call.Headers.emplace_back(Name, Value);
+  for (const char *HeaderName : {"X-Deadline-Ms", "X-Idempotent",
+                                 "Idempotency-Key", "X-Ticket", "Content-Type"})
+    if (const auto Value = findHeader(Request.Headers, HeaderName);
+        !Value.empty())
+      Call.Headers.emplace_back(HeaderName, Value);
   Call.Headers.emplace_back("X-Forwarded-By", Context_.Self.Name);
   Call.Body = Request.Body;
   Call.Timeout = Context_.Config.Times.MaxRequestTime + DeadlineMargin;
@@ -306,48 +309,50 @@
 void RequestFrontend::enqueue(ServiceCallPtr Call) {
   SlotDemand Demand{Call->Id,     Call->Customer, Call->Service,
                     Call->Urgent, Call->StartBy,  Call->ExcludedVms};
-  Result<void> Queued;
+  Result<void> EnqueueResult;
   {
     const std::lock_guard Lock(Mutex_);
-    Queued = Admission_.enqueue(std::move(Demand));
-    if (Queued)
+    EnqueueResult = Admission_.enqueue(std::move(Demand));
+    if (EnqueueResult)
       WaitingCalls_[Call->Id] = Call;
   }
-  if (!Queued) {
+  if (!EnqueueResult) {
     const Outcome CallOutcome =
         Call->MayHaveRun ? Outcome::Unknown : Outcome::NotRun;
-    return finish(Call, CallOutcome, outcomeReply(CallOutcome, Queued.error()));
+    return finish(Call, CallOutcome,
+                  outcomeReply(CallOutcome, EnqueueResult.error()));
   }
   dispatchReady();
 }
 
 void RequestFrontend::dispatchReady() {
-  std::vector<std::pair<ServiceCallPtr, Slot>> Ready;
+  std::vector<std::pair<ServiceCallPtr, Slot>> ReadyCalls;
   bool ShouldRequestGrants = false;
   {
     const std::lock_guard Lock(Mutex_);
     for (Slot &HeldSlot : Admission_.takeReady()) {
       const auto Found = WaitingCalls_.find(HeldSlot.Id);
-      Ready.emplace_back(std::move(Found->second), std::move(HeldSlot));
+      ReadyCalls.emplace_back(std::move(Found->second), std::move(HeldSlot));
       WaitingCalls_.erase(Found);
     }
     ShouldRequestGrants = Admission_.shouldReport();
   }
-  for (auto &[Call, HeldSlot] : Ready)
+  for (auto &[Call, HeldSlot] : ReadyCalls)
     sendToBackend(std::move(Call), std::move(HeldSlot));
   if (ShouldRequestGrants)
     RequestGrants_();
 }
 
 void RequestFrontend::sendToBackend(ServiceCallPtr Call, Slot HeldSlot) {
-  const TimePoint Now = Context_.MonotonicClock.now();
+  const TimePoint SentAt = Context_.MonotonicClock.now();
   ++Call->Attempts;
   if (Call->Attempts == 1 && OnStartWait)
-    OnStartWait(std::chrono::duration<double, std::milli>(Now - Call->ArrivedAt)
-                    .count());
-  const milliseconds TimeLeft =
-      std::max(std::chrono::duration_cast<milliseconds>(Call->Deadline - Now),
-               MinAttemptTime);
+    OnStartWait(
+        std::chrono::duration<double, std::milli>(SentAt - Call->ArrivedAt)
+            .count());
+  const milliseconds TimeLeft = std::max(
+      std::chrono::duration_cast<milliseconds>(Call->Deadline - SentAt),
+      MinAttemptTime);
   HttpCall BackendCall;
   BackendCall.Method = "POST";
   BackendCall.Url = Context_.Config.reachable(HeldSlot.Url + "/requests");
@@ -369,8 +374,8 @@
   BackendCall.NeverResend = !Call->Options.Idempotent;
   Context_.Client.send(std::move(BackendCall), [this, Call = std::move(Call),
                                                 HeldSlot = std::move(HeldSlot),
-                                                Now](HttpResult Response) {
-    handleBackendResult(Call, HeldSlot, Now, std::move(Response));
+                                                SentAt](HttpResult Response) {
+    handleBackendResult(Call, HeldSlot, SentAt, std::move(Response));
   });
 }
 
@@ -398,18 +403,19 @@
     Call->ExcludedVms.insert(HeldSlot.Vm);
     return retryOrFinish(std::move(Call), Result.error());
   }
-  const std::string Refused(Result ? findHeader(Result->Headers, "X-Refused")
-                                   : std::string_view());
-  if (Refused == "leaving") {
+  const std::string RefusalReason(
+      Result ? findHeader(Result->Headers, "X-Refused") : std::string_view());
+  if (RefusalReason == "leaving") {
     const std::lock_guard Lock(Mutex_);
     Admission_.markLeaving(HeldSlot.Vm);
   }
   releaseSlot(HeldSlot, SentAt);
-  if (!Result || !Refused.empty()) {
+  if (!Result || !RefusalReason.empty()) {
     Call->ExcludedVms.insert(HeldSlot.Vm);
     return retryOrFinish(std::move(Call),
-                         Result ? Error{ErrorCode::BackendRefused, Refused}
-                                : Result.error());
+                         Result
+                             ? Error{ErrorCode::BackendRefused, RefusalReason}
+                             : Result.error());
   }
   HttpResponse Response = std::move(*Result);
   const std::string ContentType(findHeader(Response.Headers, "Content-Type"));
@@ -420,9 +426,9 @@
 }
 
 void RequestFrontend::retryOrFinish(ServiceCallPtr Call, const Error &Cause) {
-  const bool Allowed = !Call->MayHaveRun || Call->Options.Idempotent;
+  const bool MayRepeat = !Call->MayHaveRun || Call->Options.Idempotent;
   milliseconds Delay{0};
-  bool Retry = false;
+  bool ShouldRetry = false;
   {
     const std::lock_guard Lock(Mutex_);
     std::uniform_real_distribution<double> Jitter(0.5, 1.0);
@@ -430,13 +436,13 @@
         std::min(RetryDelayMin * (1 << Call->Attempts), RetryDelayMax);
     Delay =
         std::chrono::duration_cast<milliseconds>(MaxDelay * Jitter(Random_));
-    const bool InTime =
+    const bool HasTimeLeft =
         Context_.MonotonicClock.now() + Delay + MinAttemptTime < Call->Deadline;
-    Retry = Allowed && InTime && Call->Attempts < MaxAttempts &&
-            RetryBudget_.spend();
-    OutcomeCounts_.Retries += Retry ? 1 : 0;
+    ShouldRetry = MayRepeat && HasTimeLeft && Call->Attempts < MaxAttempts &&
+                  RetryBudget_.spend();
+    OutcomeCounts_.Retries += ShouldRetry ? 1 : 0;
   }
-  if (!Retry) {
+  if (!ShouldRetry) {
     const Outcome CallOutcome =
         Call->MayHaveRun ? Outcome::Unknown : Outcome::NotRun;
     return finish(std::move(Call), CallOutcome,
