--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -23,85 +23,94 @@
 
 namespace cuminroad {
 
-/// What an owner works with; all of it outlives the owner.
+/// Dependencies of a DomainOwner. Every referenced object must outlive it.
 struct OwnerContext {
   const Settings &Config;
   const Identity &Self;
-  const Clock &Time;
+  const Clock &MonotonicClock;
   EventLog &Events;
-  Loop &Home;
+  Loop &ControlLoop;
   HttpClient &Client;
-  /// Resolves lost replies without giving up.
-  Table &Rows;
-  VmList &List;
-  const ConfigManager &Contracts;
-  /// The VMs as last listed; used where the platform can't be reached.
+  /// Must retry a transaction whose reply was lost until its outcome is known.
+  Table &PlatformTable;
+  VmList &VmListSource;
+  const ConfigManager &SharedConfig;
+  /// The last VM list that this daemon read. An owner that was chosen while the
+  /// table was unreachable starts from it.
   VmListing LastListing;
 };
 
-/// Under which epoch a domain is owned.
+/// One term of ownership of a failure domain, identified by its epoch.
 struct OwnerTerm {
   std::int64_t Epoch = 0;
   std::string EpochKey;
-  /// Version of the epoch row; 0 for an owner chosen without the table, which
-  /// takes no new jobs.
+  /// Version of the epoch row in the table. 0 for an owner that was chosen
+  /// while the table was unreachable; such an owner accepts no new jobs.
   std::int64_t EpochVersion = 0;
-  /// Whether an earlier owner may have left tasks and grants.
-  bool Inherited = false;
+  /// Whether tasks and grants of an earlier owner may still be in effect.
+  bool HasPredecessor = false;
 };
 
-/// Schedules one failure domain for one term of ownership: holds its VMs,
-/// decides by the scheduler, keeps the jobs' rows, and grants slots to the
-/// domain's front doors. Runs on the control thread.
-class DomainOwner final : public VmEvents,
+/// Schedules one failure domain for one term of ownership: claims the domain's
+/// VMs, carries out the scheduler's commands, keeps the rows of the jobs, and
+/// grants request slots to the frontends of the domain's daemons. Runs on the
+/// control thread.
+class DomainOwner final : public VmSessionListener,
                           public DomainUsage,
                           public std::enable_shared_from_this<DomainOwner> {
 public:
-  using Submitted = std::function<void(Result<std::string>)>;
+  using SubmitCallback = std::function<void(Result<std::string>)>;
 
   DomainOwner(const OwnerContext &Context, OwnerTerm Term);
 
   void start();
-  /// Stops all work at once; no command leaves after this.
+  /// Stops immediately; no command is sent afterwards.
   void close();
-  /// Takes in changed contracts and members.
+  /// Applies changed contracts and members of the shared configuration.
   void configChanged();
 
-  void submit(JobSpec Spec, Submitted Done);
-  /// Cancels an unfinished job; \p Done comes when that is in the table.
+  /// Checks a new job and stores it in the table. \p Done receives its id, or
+  /// the id of the existing job with the same name.
+  void submit(JobSpec Spec, SubmitCallback Done);
+  /// Cancels an unfinished job. \p Done is called once the cancellation is
+  /// stored in the table.
   void cancel(const std::string &Job, std::function<void(Result<void>)> Done);
-  /// Gives a VM no new work.
+  /// Stops placing new work on a VM.
   void drain(const std::string &Vm);
-  GrantReply answerGrants(const GrantRequest &Request);
+  /// Applies what a frontend reports. \returns the grants that it may use now.
+  GrantReply handleGrantRequest(const GrantRequest &Request);
 
   std::optional<JobView> job(const std::string &Id) const;
   std::vector<JobView> jobs() const;
   std::vector<VmView> vms() const;
-  /// Whether the jobs of earlier owners are known.
-  bool loaded() const { return Loaded_; }
+  /// Whether the unfinished jobs have been read from the table. Until then no
+  /// job is accepted or scheduled.
+  bool jobsLoaded() const { return JobsLoaded_; }
   const OwnerTerm &term() const { return Term_; }
-  /// Called when another daemon holds this term's epoch or a newer one.
-  std::function<void(std::int64_t Epoch)> OnStale;
-  /// Called when the grants of all front doors should be renewed at once.
+  /// Called when a VM or the table shows that another daemon holds this term's
+  /// epoch or a newer one.
+  std::function<void(std::int64_t Epoch)> OnSuperseded;
+  /// Called when the frontends of all the domain's daemons should renew their
+  /// grants now.
   std::function<void()> OnGrantsChanged;
-  /// Called with the daemons whose grants should be renewed at once.
-  std::function<void(const std::vector<std::string> &)> OnNudge;
-  /// Called with the names of daemons whose VM is gone.
-  std::function<void(const std::vector<std::string> &)> OnGoneEntries;
-
-  void claimed(const std::string &Vm,
-               const std::vector<InventoryTask> &Running) override;
-  void ended(const std::string &Vm,
-             const std::vector<EndedTask> &Tasks) override;
-  void used(const std::string &Vm, const TaskAttempt &Task,
-            const Capacity &Used) override;
-  void started(const std::string &Vm, const TaskAttempt &Task) override;
-  void refused(const std::string &Vm, const TaskAttempt &Task,
-               const std::string &Why) override;
-  void leaving(const std::string &Vm) override;
-  void lapsed(const std::string &Vm) override;
-  void superseded(const std::string &Vm, std::int64_t Epoch,
-                  const std::string &Holder) override;
+  /// Called with the names of the daemons that should renew their grants now.
+  std::function<void(const std::vector<std::string> &)> OnGrantRenewalWanted;
+  /// Called with the names of the daemons whose entry VM is permanently gone.
+  std::function<void(const std::vector<std::string> &)> OnEntryVmsGone;
+
+  void onVmClaimed(const std::string &Vm,
+                   const std::vector<InventoryTask> &Running) override;
+  void onTasksEnded(const std::string &Vm,
+                    const std::vector<EndedTask> &Tasks) override;
+  void onUsageReported(const std::string &Vm, const TaskAttempt &Task,
+                       const Capacity &Used) override;
+  void onTaskStarted(const std::string &Vm, const TaskAttempt &Task) override;
+  void onStartRefused(const std::string &Vm, const TaskAttempt &Task,
+                      const std::string &Reason) override;
+  void onVmLeaving(const std::string &Vm) override;
+  void onLeasesLapsed(const std::string &Vm) override;
+  void onClaimSuperseded(const std::string &Vm, std::int64_t Epoch,
+                         const std::string &Holder) override;
 
   ShareAmount demand(const std::string &Customer) const override;
   ShareAmount maxUsage(const std::string &Customer) const override;
@@ -109,39 +118,41 @@
 
 private:
   struct KnownVm {
-    ListedVm Listed;
+    ListedVm ListEntry;
     std::shared_ptr<VmSession> Session;
     bool Leaving = false;
-    /// Claimed before the jobs were loaded.
+    /// Tasks reported by a claim that succeeded before the jobs were loaded.
     std::optional<std::vector<InventoryTask>> Inventory;
-    std::vector<EndedTask> Ends;
+    /// Tasks that ended before the jobs were loaded.
+    std::vector<EndedTask> EndedTasks;
   };
 
-  void readList();
-  void applyList(const VmListing &Listing);
-  void addVm(const ListedVm &Listed);
-  void loadedJobs(const std::vector<JobRow> &Rows);
-  void tick();
-  void run();
-  void execute(const StartTask &Do);
-  void execute(const StopTask &Do);
-  void execute(const ThrottleTask &Do);
-  void execute(const EndJob &Do);
-  void applyEnd(const std::string &Vm, const EndedTask &Task);
-  void updateSlots(const std::string &Vm);
-  void applyLimits();
-  /// What the VMs said of requests whose daemons are not heard of.
-  struct UnheardRequests {
-    std::size_t Open = 0;
-    bool Complete = true;
-    CountByName OnVms;
-    CountByName OfCustomers;
+  void pollVmList();
+  void applyVmList(const VmListing &Listing);
+  void addVm(const ListedVm &ListEntry);
+  void recoverJobs(const std::vector<JobRow> &Rows);
+  void runSchedulerPeriodically();
+  void runScheduler();
+  void execute(const StartTask &Command);
+  void execute(const StopTask &Command);
+  void execute(const ThrottleTask &Command);
+  void execute(const EndJob &Command);
+  void applyTaskEnd(const std::string &Vm, const EndedTask &Task);
+  void updateVmSlots(const std::string &Vm);
+  void applyCustomerLimits();
+  /// Requests in flight on the VMs that were sent by daemons which have not yet
+  /// reported their grants to this owner. Collected from all VMs in one round.
+  struct UntrackedRequests {
+    std::size_t PendingReplies = 0;
+    bool AllVmsReplied = true;
+    CountByName CountByVm;
+    CountByName CountByCustomer;
   };
-  void settleEarly();
-  void countUnheard(const std::string &Vm,
-                    const std::vector<RequestInFlight> &Requests,
-                    UnheardRequests &Into) const;
-  KnownVm *find(const std::string &Vm);
+  void settleGrantsEarly();
+  void countUntrackedRequests(const std::string &Vm,
+                              const std::vector<InFlightRequest> &Requests,
+                              UntrackedRequests &Totals) const;
+  KnownVm *findVm(const std::string &Vm);
 
   OwnerContext Context_;
   OwnerTerm Term_;
@@ -150,13 +161,15 @@
   std::shared_ptr<JobStore> Jobs_;
   std::shared_ptr<ShareManager> Shares_;
   std::map<std::string, KnownVm> Vms_;
-  std::int64_t VmTable_ = 0;
-  bool ListRead_ = false;
-  bool Loaded_ = false;
+  /// Incremented when a VM is added to the list of VMs that frontends receive.
+  std::int64_t VmTableVersion_ = 0;
+  bool VmListRead_ = false;
+  bool JobsLoaded_ = false;
   bool Closed_ = false;
   std::map<std::string, ContractTerms> Contracts_;
-  /// Starts that wait until they are in the table.
-  std::set<TaskAttempt> Recording_;
+  /// Tasks whose start is being written to the table; the start command is sent
+  /// once the write has committed.
+  std::set<TaskAttempt> StartsBeingRecorded_;
 };
 
 } // namespace cuminroad
--- a/packages/daemon/src/Api.h
+++ b/packages/daemon/src/Api.h
@@ -5,39 +5,47 @@
 #include <string>
 #include <vector>
 
-#include "DaemonParts.h"
+#include "DaemonComponents.h"
 #include "Metrics.h"
 #include "cuminroad/daemon/HttpReplies.h"
 #include "cuminroad/net/HttpServer.h"
 
 namespace cuminroad {
 
-/// The daemon's HTTP interface for callers and operators, see docs/API.md.
-/// handle() may be called on any thread; all but service requests and tickets
-/// is worked on by the control thread.
+/// The daemon's HTTP API for callers and operators, see docs/API.md. handle()
+/// may be called on any thread. Service requests, tickets and health checks are
+/// handled on that thread, everything else on the control thread.
 class Api {
 public:
-  Api(DaemonParts &Parts, FrontDoor &Door, Metrics &Figures);
+  Api(DaemonComponents &Components, RequestFrontend &Frontend,
+      Metrics &DaemonMetrics);
 
   void handle(HttpRequest Request, HttpResponder Respond);
-  /// Whether callers may be sent here.
+  /// Whether a load balancer may send callers to this daemon.
   std::function<bool()> IsReady;
-  std::function<PeerTraffic()> Peers;
+  /// Returns the traffic of messages between daemons, for the metrics.
+  std::function<PeerTraffic()> GetPeerTraffic;
 
 private:
-  using Path = std::vector<std::string>;
+  using PathSegments = std::vector<std::string>;
 
-  void handleControl(const Path &Parts, const HttpRequest &Request,
-                     const HttpResponder &Respond);
+  void handleOnControlThread(const PathSegments &Segments,
+                             const HttpRequest &Request,
+                             const HttpResponder &Respond);
   bool authorized(const HttpRequest &Request) const;
-  void handleJobs(const Path &Parts, const HttpRequest &Request,
+  void handleJobs(const PathSegments &Segments, const HttpRequest &Request,
                   const HttpResponder &Respond);
-  void handleContracts(const Path &Parts, const HttpRequest &Request,
+  void handleContracts(const PathSegments &Segments, const HttpRequest &Request,
                        const HttpResponder &Respond);
   void submitJob(const HttpRequest &Request, const HttpResponder &Respond);
-  void spillJob(const HttpRequest &Request, const HttpResponder &Respond,
-                std::vector<std::string> Domains, HttpResponse Last);
-  void submitHere(const HttpRequest &Request, const HttpResponder &Respond);
+  /// Submits a job to each of \p Domains in turn until one doesn't refuse it.
+  /// If all refuse, responds with the first refusal; \p FirstRefusal is empty
+  /// until there is one.
+  void submitToDomains(const HttpRequest &Request, const HttpResponder &Respond,
+                       std::vector<std::string> Domains,
+                       HttpResponse FirstRefusal);
+  void submitToLocalOwner(const HttpRequest &Request,
+                          const HttpResponder &Respond);
   void showJob(const std::string &Id, const HttpRequest &Request,
                const HttpResponder &Respond);
   void readFinishedJob(const std::string &Id, const HttpResponder &Respond);
@@ -50,14 +58,14 @@
   void showEvents(const HttpRequest &Request, const HttpResponder &Respond);
   void drainVm(const std::string &Vm, const HttpRequest &Request,
                const HttpResponder &Respond);
-  /// Sends the request to the owner of \p Domain and passes its answer on.
-  void forward(const std::string &Domain, const HttpRequest &Request,
-               HttpResponder Respond);
-  void forwardTo(const std::string &Http, const HttpRequest &Request,
-                 HttpResponder Respond);
+  /// Forwards the request to the owner of \p Domain and passes on its response.
+  void forwardToOwner(const std::string &Domain, const HttpRequest &Request,
+                      HttpResponder Respond);
+  void forwardToDaemon(const std::string &Http, const HttpRequest &Request,
+                       HttpResponder Respond);
 
-  DaemonParts &Parts_;
-  FrontDoor &Door_;
+  DaemonComponents &Components_;
+  RequestFrontend &Frontend_;
   Metrics &Metrics_;
 };
 
--- a/packages/daemon/src/DomainOwnerVmEvents.cpp
+++ b/packages/daemon/src/DomainOwnerVmEvents.cpp
@@ -1,4 +1,4 @@
-// What the VMs of the domain tell their owner.
+// Handles the events that the VM sessions report to the DomainOwner.
 
 #include "cuminroad/daemon/DomainOwner.h"
 
@@ -8,102 +8,106 @@
 
 namespace cuminroad {
 
-void DomainOwner::updateSlots(const std::string &Id) {
+void DomainOwner::updateVmSlots(const std::string &Id) {
   const KnownVm &Vm = Vms_.at(Id);
-  const bool Usable =
-      Vm.Session->held() && !Vm.Leaving && Vm.Listed.State == ListedState::Live;
-  Grants_.setVm(Id, Vm.Listed.Spec.Service, Usable ? Vm.Listed.Spec.Slots : 0);
+  const bool IsUsable = Vm.Session->held() && !Vm.Leaving &&
+                        Vm.ListEntry.State == ListedState::Live;
+  Grants_.setVm(Id, Vm.ListEntry.Spec.Service,
+                IsUsable ? Vm.ListEntry.Spec.Slots : 0);
 }
 
-void DomainOwner::claimed(const std::string &Id,
-                          const std::vector<InventoryTask> &Running) {
+void DomainOwner::onVmClaimed(const std::string &Id,
+                              const std::vector<InventoryTask> &Running) {
   Context_.Events.record(EventId::VmClaimed, Id,
                          fmt::format("{} tasks", Running.size()));
   KnownVm &Vm = Vms_.at(Id);
-  updateSlots(Id);
-  if (!Loaded_) {
+  updateVmSlots(Id);
+  if (!JobsLoaded_) {
     Vm.Inventory = Running;
     return;
   }
   Scheduler_->vmClaimed(Id, Running);
-  run();
+  runScheduler();
 }
 
-void DomainOwner::ended(const std::string &Id,
-                        const std::vector<EndedTask> &Tasks) {
+void DomainOwner::onTasksEnded(const std::string &Id,
+                               const std::vector<EndedTask> &Tasks) {
   KnownVm &Vm = Vms_.at(Id);
-  if (!Loaded_) {
-    // Each end is told again until it is acknowledged; the last list is all.
-    Vm.Ends = Tasks;
+  if (!JobsLoaded_) {
+    // A VM reports each end until it is acknowledged, so the newest list is
+    // complete.
+    Vm.EndedTasks = Tasks;
     return;
   }
   for (const EndedTask &Task : Tasks)
-    applyEnd(Id, Task);
-  run();
+    applyTaskEnd(Id, Task);
+  runScheduler();
 }
 
-void DomainOwner::applyEnd(const std::string &Id, const EndedTask &End) {
+void DomainOwner::applyTaskEnd(const std::string &Id, const EndedTask &End) {
   const auto Acknowledge = [this, Id, Task = End.Task] {
-    if (KnownVm *Vm = find(Id))
-      Vm->Session->acknowledge(Task);
+    if (KnownVm *Vm = findVm(Id))
+      Vm->Session->acknowledgeEnd(Task);
   };
-  // Only an end that is in the table may be forgotten by the VM.
-  if (End.Stopped || Jobs_->hasEnd(End.Task.Task))
+  // Acknowledge only an end that is stored in the table: the VM discards an
+  // acknowledged end.
+  if (End.Stopped || Jobs_->isEndRecorded(End.Task.Task))
     Acknowledge();
-  else if (Jobs_->markEnded(End.Task.Task, End.Failed, Acknowledge))
+  else if (Jobs_->recordEnd(End.Task.Task, End.Failed, Acknowledge))
     Context_.Events.record(EventId::TaskEnded, taskText(End.Task), Id);
   Scheduler_->taskEnded(End.Task, End.Failed, End.Stopped);
 }
 
-void DomainOwner::used(const std::string &, const TaskAttempt &Task,
-                       const Capacity &Used) {
+void DomainOwner::onUsageReported(const std::string &, const TaskAttempt &Task,
+                                  const Capacity &Used) {
   Scheduler_->usageReported(Task, Used);
-  run();
+  runScheduler();
 }
 
-void DomainOwner::started(const std::string &Vm, const TaskAttempt &Task) {
+void DomainOwner::onTaskStarted(const std::string &Vm,
+                                const TaskAttempt &Task) {
   Context_.Events.record(EventId::TaskStarted, taskText(Task), Vm);
   Scheduler_->taskStarted(Task);
 }
 
-void DomainOwner::refused(const std::string &Vm, const TaskAttempt &Task,
-                          const std::string &Why) {
+void DomainOwner::onStartRefused(const std::string &Vm, const TaskAttempt &Task,
+                                 const std::string &Reason) {
   Context_.Events.record(EventId::TaskStartFailed, taskText(Task),
-                         Vm + ": " + Why);
-  if (Why == "leaving")
-    leaving(Vm);
+                         Vm + ": " + Reason);
+  if (Reason == "leaving")
+    onVmLeaving(Vm);
   Scheduler_->startRefused(Task);
-  run();
+  runScheduler();
 }
 
-void DomainOwner::leaving(const std::string &Id) {
-  KnownVm *Vm = find(Id);
+void DomainOwner::onVmLeaving(const std::string &Id) {
+  KnownVm *Vm = findVm(Id);
   if (!Vm || std::exchange(Vm->Leaving, true))
     return;
   Context_.Events.record(EventId::VmLeaving, Id);
-  updateSlots(Id);
-  if (Loaded_)
+  updateVmSlots(Id);
+  if (JobsLoaded_)
     Scheduler_->vmLeaving(Id);
   if (OnGrantsChanged)
     OnGrantsChanged();
-  run();
+  runScheduler();
 }
 
-void DomainOwner::lapsed(const std::string &Vm) {
+void DomainOwner::onLeasesLapsed(const std::string &Vm) {
   Context_.Events.record(EventId::VmLeaseLapsed, Vm);
   Vms_.at(Vm).Inventory.reset();
-  updateSlots(Vm);
-  if (Loaded_)
+  updateVmSlots(Vm);
+  if (JobsLoaded_)
     Scheduler_->vmEmptied(Vm, false);
-  run();
+  runScheduler();
 }
 
-void DomainOwner::superseded(const std::string &Vm, std::int64_t Epoch,
-                             const std::string &Holder) {
+void DomainOwner::onClaimSuperseded(const std::string &Vm, std::int64_t Epoch,
+                                    const std::string &Holder) {
   Context_.Events.record(EventId::VmClaimRefused, Vm,
                          fmt::format("epoch {} of {}", Epoch, Holder));
-  if (OnStale)
-    OnStale(Epoch);
+  if (OnSuperseded)
+    OnSuperseded(Epoch);
 }
 
 } // namespace cuminroad
--- a/packages/daemon/src/HttpReplies.cpp
+++ b/packages/daemon/src/HttpReplies.cpp
@@ -39,18 +39,18 @@
   }
 }
 
-nlohmann::json errorBody(const Error &Fault) {
-  const ErrorInfo &Info = errorInfo(Fault.Code);
-  return {{"number", static_cast<int>(Fault.Code)},
+nlohmann::json errorBody(const Error &Failure) {
+  const ErrorInfo &Info = errorInfo(Failure.Code);
+  return {{"number", static_cast<int>(Failure.Code)},
           {"name", Info.Name},
           {"message", Info.Message},
-          {"detail", Fault.Detail}};
+          {"detail", Failure.Detail}};
 }
 
 } // namespace
 
-std::string_view outcomeName(Outcome What) {
-  switch (What) {
+std::string_view outcomeName(Outcome RequestOutcome) {
+  switch (RequestOutcome) {
   case Outcome::Done:
     return "done";
   case Outcome::NotRun:
@@ -69,16 +69,18 @@
           "\n"};
 }
 
-HttpResponse errorReply(const Error &Fault) {
-  return jsonReply(statusOf(Fault.Code), {{"error", errorBody(Fault)}});
+HttpResponse errorReply(const Error &Failure) {
+  return jsonReply(statusOf(Failure.Code), {{"error", errorBody(Failure)}});
 }
 
-HttpResponse outcomeReply(Outcome What, const Error &Why) {
-  const int Status = What == Outcome::NotRun ? statusOf(Why.Code) : 504;
-  HttpResponse Out = jsonReply(
-      Status, {{"outcome", outcomeName(What)}, {"error", errorBody(Why)}});
-  Out.Headers.emplace_back("X-Outcome", outcomeName(What));
-  return Out;
+HttpResponse outcomeReply(Outcome RequestOutcome, const Error &Cause) {
+  const int Status =
+      RequestOutcome == Outcome::NotRun ? statusOf(Cause.Code) : 504;
+  HttpResponse Response =
+      jsonReply(Status, {{"outcome", outcomeName(RequestOutcome)},
+                         {"error", errorBody(Cause)}});
+  Response.Headers.emplace_back("X-Outcome", outcomeName(RequestOutcome));
+  return Response;
 }
 
 } // namespace cuminroad
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -35,48 +35,51 @@
       .Set(Value);
 }
 
-std::string Metrics::render(const DaemonParts &Parts, const FrontDoor &Door,
-                            const PeerTraffic &Peers) {
-  const FrontDoorCounts Counts = Door.counts();
-  const TableUse Use = Parts.PlainTable.use();
-  const HttpTraffic Traffic = Parts.ControlClient->traffic();
+std::string Metrics::render(const DaemonComponents &Components,
+                            const RequestFrontend &Frontend,
+                            const PeerTraffic &PeerMessages) {
+  const RequestOutcomeCounts Outcomes = Frontend.outcomeCounts();
+  const TableUse TableCalls = Components.PlatformTable.use();
+  const HttpTraffic ControlTraffic = Components.ControlClient->traffic();
   const auto Number = [](auto Value) { return static_cast<double>(Value); };
   setGauge("cuminroad_requests_done_total", "Requests answered whole.",
-           Number(Counts.Done));
+           Number(Outcomes.Done));
   setGauge("cuminroad_requests_not_run_total", "Requests certainly not run.",
-           Number(Counts.NotRun));
+           Number(Outcomes.NotRun));
   setGauge("cuminroad_requests_unknown_total",
            "Requests that may have run without an answer.",
-           Number(Counts.Unknown));
+           Number(Outcomes.Unknown));
   setGauge("cuminroad_request_retries_total", "Requests sent again.",
-           Number(Counts.Retries));
+           Number(Outcomes.Retries));
   setGauge("cuminroad_requests_waiting", "Requests that wait for a slot.",
-           Number(Door.waiting()));
+           Number(Frontend.waitingRequests()));
   setGauge("cuminroad_owner", "1 while this daemon owns its failure domain.",
-           Parts.Domain ? 1.0 : 0.0);
+           Components.LocalOwner ? 1.0 : 0.0);
   setGauge("cuminroad_owner_epoch", "The newest epoch known.",
-           Number(Parts.Owners.owner().Epoch));
+           Number(Components.DomainOwnership.owner().Epoch));
   setGauge("cuminroad_store_reachable", "1 while the platform's table answers.",
-           Parts.Rows.reachable() ? 1.0 : 0.0);
+           Components.RetryingTable.reachable() ? 1.0 : 0.0);
   setGauge("cuminroad_config_version", "Version of the configuration applied.",
-           Number(Parts.Keeper.appliedVersion()));
+           Number(Components.SharedConfig.appliedVersion()));
   setGauge("cuminroad_table_writes_total", "Transactions sent to the table.",
-           Number(Use.Writes));
+           Number(TableCalls.Writes));
   setGauge("cuminroad_table_reads_total", "Reads sent to the table.",
-           Number(Use.Reads));
+           Number(TableCalls.Reads));
   setGauge("cuminroad_control_sent_bytes_total",
-           "Bytes of control calls over HTTP sent.", Number(Traffic.BytesSent));
+           "Bytes of control calls over HTTP sent.",
+           Number(ControlTraffic.BytesSent));
   setGauge("cuminroad_control_received_bytes_total",
            "Bytes of control calls over HTTP received.",
-           Number(Traffic.BytesReceived));
+           Number(ControlTraffic.BytesReceived));
   setGauge("cuminroad_peer_sent_bytes_total",
-           "Bytes of messages sent to other daemons.", Number(Peers.Sent));
+           "Bytes of messages sent to other daemons.",
+           Number(PeerMessages.Sent));
   setGauge("cuminroad_peer_received_bytes_total",
            "Bytes of messages received from other daemons.",
-           Number(Peers.Received));
-  if (Parts.Domain)
+           Number(PeerMessages.Received));
+  if (Components.LocalOwner)
     setGauge("cuminroad_jobs", "Unfinished jobs of the domain.",
-             Number(Parts.Domain->jobs().size()));
+             Number(Components.LocalOwner->jobs().size()));
   return prometheus::TextSerializer().Serialize(Registry_.Collect());
 }
 
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TablelessTakeover::TablelessTakeover(DaemonParts &Parts) : Parts_(Parts) {}
+TablelessTakeover::TablelessTakeover(DaemonComponents &Parts) : Parts_(Parts) {}
 
 void TablelessTakeover::start() {
   recordOwnerContact();
@@ -25,7 +25,7 @@
 }
 
 void TablelessTakeover::scheduleCheck() {
-  Parts_.Control->after(CheckInterval, [this] { check(); });
+  Parts_.ControlLoop->after(CheckInterval, [this] { check(); });
 }
 
 milliseconds TablelessTakeover::silenceLimit() const {
@@ -33,9 +33,9 @@
 }
 
 bool TablelessTakeover::isDue() const {
-  return !Parts_.Owners.isOwner() && !Parts_.Rows.reachable() &&
-         !Parts_.LastListing.Vms.empty() &&
-         Parts_.Time.now() - LastContactAt_ > silenceLimit();
+  return !Parts_.DomainOwnership.isOwner() &&
+         !Parts_.RetryingTable.reachable() && !Parts_.LastListing.Vms.empty() &&
+         Parts_.MonotonicClock.now() - LastContactAt_ > silenceLimit();
 }
 
 void TablelessTakeover::check() {
@@ -53,7 +53,7 @@
   Call.Url = Parts_.Config.reachable(Vm.Url + "/holder");
   Call.Timeout = QueryTimeout;
   Parts_.ControlClient->send(std::move(Call), [this, Round](HttpResult Answer) {
-    Parts_.Control->post([this, Round, Answer = std::move(Answer)] {
+    Parts_.ControlLoop->post([this, Round, Answer = std::move(Answer)] {
       addResponse(Answer, Round);
     });
   });
@@ -70,7 +70,7 @@
                                        : Round->FreshLeases);
       Round->HighestEpoch =
           std::max(Round->HighestEpoch,
-                   epochOfFence(Body->value("fence", std::int64_t(0))));
+                   epochOfFencingToken(Body->value("fence", std::int64_t(0))));
     }
   }
   if (--Round->Outstanding == 0)
@@ -81,10 +81,10 @@
   // One renewed lease is enough to show that the owner is alive.
   const bool Majority = Round.StaleLeases * 2 > Parts_.LastListing.Vms.size();
   if (isDue() && Majority && Round.FreshLeases == 0) {
-    OwnerInfo Last = Parts_.Owners.owner();
+    OwnerInfo Last = Parts_.DomainOwnership.owner();
     Last.Epoch = std::max(Last.Epoch, Round.HighestEpoch);
-    Parts_.Owners.observe(Last);
-    Parts_.Owners.takeOverWithoutTable();
+    Parts_.DomainOwnership.observe(Last);
+    Parts_.DomainOwnership.takeOverWithoutTable();
   }
   scheduleCheck();
 }
--- a/packages/daemon/src/TablelessTakeover.h
+++ b/packages/daemon/src/TablelessTakeover.h
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "DaemonParts.h"
+#include "DaemonComponents.h"
 
 namespace cuminroad {
 
@@ -13,11 +13,11 @@
 /// network would displace a healthy owner. Runs on the control thread.
 class TablelessTakeover {
 public:
-  explicit TablelessTakeover(DaemonParts &Parts);
+  explicit TablelessTakeover(DaemonComponents &Parts);
   /// Begins to check regularly whether a takeover is due.
   void start();
   /// To be called when a message of the owner arrives.
-  void recordOwnerContact() { LastContactAt_ = Parts_.Time.now(); }
+  void recordOwnerContact() { LastContactAt_ = Parts_.MonotonicClock.now(); }
 
 private:
   /// The VMs' responses to one round of queries.
@@ -42,7 +42,7 @@
                    const std::shared_ptr<PollRound> &Round);
   void finishRound(const PollRound &Round);
 
-  DaemonParts &Parts_;
+  DaemonComponents &Parts_;
   TimePoint LastContactAt_{};
 };
 
