--- a/tests/failure/fleet_checker_test.py
+++ b/tests/failure/fleet_checker_test.py
@@ -22,42 +22,42 @@
 
 
 class CheckerTest(unittest.TestCase):
-    def test_second_run_at_a_time(self):
-        self.assertEqual([], fleet_checker.check_one_run(
+    def test_concurrent_runs(self):
+        self.assertEqual([], fleet_checker.check_exclusive_runs(
             [event("start"), event("lapsed"), event("start", run=2)]))
-        self.assertTrue(fleet_checker.check_one_run(
+        self.assertTrue(fleet_checker.check_exclusive_runs(
             [event("start"), event("start", run=2, vm="w")]))
 
-    def test_run_after_a_recorded_end(self):
-        self.assertTrue(fleet_checker.check_one_run(
+    def test_start_after_acknowledged_end(self):
+        self.assertTrue(fleet_checker.check_exclusive_runs(
             [event("start"), event("done"), event("acknowledged"),
              event("start", run=2)]))
 
-    def test_vm_over_its_room(self):
+    def test_vm_capacity(self):
         two = [event("start"), event("start", task="j.0.0.1")]
-        self.assertTrue(fleet_checker.check_room(two, VMS))
-        self.assertEqual([], fleet_checker.check_room(
+        self.assertTrue(fleet_checker.check_vm_capacity(two, VMS))
+        self.assertEqual([], fleet_checker.check_vm_capacity(
             [two[0], event("done"), two[1]], VMS))
 
-    def test_step_before_its_turn(self):
+    def test_step_order(self):
         history = [event("done"), event("start", task="j.0.1.0")]
-        self.assertTrue(fleet_checker.check_order(history, JOBS))
+        self.assertTrue(fleet_checker.check_step_order(history, JOBS))
         history.insert(0, event("done", task="j.0.0.1"))
-        self.assertEqual([], fleet_checker.check_order(history, JOBS))
+        self.assertEqual([], fleet_checker.check_step_order(history, JOBS))
 
-    def test_wrong_label(self):
-        self.assertTrue(fleet_checker.check_labels(
+    def test_vm_labels(self):
+        self.assertTrue(fleet_checker.check_vm_labels(
             [event("start", task="j.0.1.0")], JOBS, VMS))
 
-    def test_outcomes_that_are_not_true(self):
+    def test_reported_outcomes(self):
         for wrong in (call(refused=True), call(accepted=1.0),
                       call(accepted=1.0, state="completed"),
                       call(accepted=1.0, state="failed"),
                       call(accepted=1.0, state="cancelled"),
                       call(problems=["410"])):
-            self.assertTrue(fleet_checker.check_outcomes(
+            self.assertTrue(fleet_checker.check_reported_outcomes(
                 [event("start"), event("failed")], [wrong], JOBS), wrong)
-        self.assertEqual([], fleet_checker.check_outcomes(
+        self.assertEqual([], fleet_checker.check_reported_outcomes(
             [event("start"), event("failed"), event("start", run=2),
              event("failed", run=2)],
             [call(accepted=1.0, state="failed")], JOBS))
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -51,7 +51,7 @@
 
 def freeze_backend(trial):
     backend = trial.running.backends["d1"]
-    trial.cut_off_vms |= vms_of_domain(trial)
+    trial.isolated_vms |= vms_of_domain(trial)
     backend.signal(signal.SIGSTOP)
     time.sleep(LONGER_THAN_LEASES_S)
     backend.signal(signal.SIGCONT)
@@ -82,7 +82,7 @@
 
 def cut_answers_from_backend(trial):
     """Calls reach the backend servers, their answers do not come back."""
-    trial.cut_off_vms |= vms_of_domain(trial)
+    trial.isolated_vms |= vms_of_domain(trial)
     trial.network.cut(trial.owner().name, "backend-d1", ("back",))
     time.sleep(5)
     trial.network.heal()
@@ -125,7 +125,7 @@
 
 
 def vm_unreachable(trial):
-    trial.cut_off_vms.add("d1-vm2")
+    trial.isolated_vms.add("d1-vm2")
     trial.running.vm_control("d1-vm2", unreachable=True)
     time.sleep(LONGER_THAN_LEASES_S + 2)
     trial.running.vm_control("d1-vm2", unreachable=False)
--- a/tests/support/fleet_checker.py
+++ b/tests/support/fleet_checker.py
@@ -1,46 +1,46 @@
 """The promises to callers, checked on what VMs ran and callers saw."""
 
 
-def check_one_run(history):
+def check_exclusive_runs(history):
     """No task has two runs at a time, and none once its end is recorded."""
-    problems, running, done = [], {}, set()
+    violations, running, done = [], {}, set()
     for event in history:
         task, run = event["task"], event.get("run")
         if event["what"] == "acknowledged":
             done.add(task)
         elif event["what"] == "start":
             if task in done:
-                problems.append("%s #%d starts after its end was recorded" %
-                                (task, run))
+                violations.append("%s #%d starts after its end was recorded" %
+                                  (task, run))
             if running.get(task):
-                problems.append("%s #%d starts while %s run" %
-                                (task, run, running[task]))
+                violations.append("%s #%d starts while %s run" %
+                                  (task, run, running[task]))
             running.setdefault(task, []).append((run, event["vm"]))
         elif (run, event["vm"]) in running.get(task, []):
             running[task].remove((run, event["vm"]))
-    return problems
+    return violations
 
 
-def check_room(history, vms):
+def check_vm_capacity(history, vms):
     """No VM holds more than it has."""
-    problems, used = [], {vm.name: [0, 0] for vm in vms}
+    violations, used = [], {vm.name: [0, 0] for vm in vms}
     for event in history:
         if "vm" not in event:
             continue
         sign = 1 if event["what"] == "start" else -1
-        here = used[event["vm"]]
-        for part in (0, 1):
-            here[part] += sign * event["size"][part]
-        room = next(vm for vm in vms if vm.name == event["vm"]).capacity
-        if here[0] > room["cpu"] or here[1] > room["mem_mb"]:
-            problems.append("%s holds %s of %s after %s" %
-                            (event["vm"], here, room, event["task"]))
-    return problems
+        vm_usage = used[event["vm"]]
+        for index in (0, 1):
+            vm_usage[index] += sign * event["size"][index]
+        capacity = next(vm for vm in vms if vm.name == event["vm"]).capacity
+        if vm_usage[0] > capacity["cpu"] or vm_usage[1] > capacity["mem_mb"]:
+            violations.append("%s holds %s of %s after %s" %
+                              (event["vm"], vm_usage, capacity, event["task"]))
+    return violations
 
 
-def check_order(history, jobs):
+def check_step_order(history, jobs):
     """A step starts when the steps before it are done, on VMs that suit."""
-    problems, done = [], set()
+    violations, done = [], set()
     for event in history:
         if event["what"] == "done":
             done.add(event["task"])
@@ -48,19 +48,19 @@
             continue
         job, occurrence, step, _ = event["task"].split(".")
         steps = jobs[job]["steps"]
-        for before in steps[int(step)].get("after", []):
-            missing = [index for index in range(steps[before]["count"])
-                       if "%s.%s.%d.%d" % (job, occurrence, before, index)
-                       not in done]
+        for earlier_step in steps[int(step)].get("after", []):
+            missing = [index for index in range(steps[earlier_step]["count"])
+                       if "%s.%s.%d.%d" % (job, occurrence, earlier_step,
+                                           index) not in done]
             # One end as done stands for a gang.
-            if missing and not (steps[before].get("gang") and
-                                len(missing) < steps[before]["count"]):
-                problems.append("%s starts before step %d is done" %
-                                (event["task"], before))
-    return problems
+            if missing and not (steps[earlier_step].get("gang") and
+                                len(missing) < steps[earlier_step]["count"]):
+                violations.append("%s starts before step %d is done" %
+                                  (event["task"], earlier_step))
+    return violations
 
 
-def check_labels(history, jobs, vms):
+def check_vm_labels(history, jobs, vms):
     labels = {vm.name: vm.label for vm in vms}
     return ["%s runs on %s" % (event["task"], event["vm"])
             for event in history if event["what"] == "start"
@@ -69,9 +69,9 @@
             if step.get("requires") not in (None, labels[event["vm"]])]
 
 
-def check_outcomes(history, calls, jobs):
+def check_reported_outcomes(history, calls, jobs):
     """What callers were told is what happened to their jobs."""
-    problems = []
+    violations = []
     ran = {event["task"].split(".")[0] for event in history
            if event["what"] == "start"}
     done = {event["task"] for event in history if event["what"] == "done"}
@@ -81,23 +81,24 @@
             failed[event["task"]] = failed.get(event["task"], 0) + 1
     for call in calls:
         job = call["job"]
-        problems += ["%s: %s" % (job, each) for each in call["problems"]]
+        violations += ["%s: %s" % (job, problem)
+                       for problem in call["problems"]]
         if call["refused"] and job in ran:
-            problems.append(job + " was refused as not run, and ran")
+            violations.append(job + " was refused as not run, and ran")
         if call["state"] == "completed":
-            for number, step in enumerate(jobs[job]["steps"]):
-                names = ["%s.0.%d.%d" % (job, number, index)
+            for step_number, step in enumerate(jobs[job]["steps"]):
+                tasks = ["%s.0.%d.%d" % (job, step_number, index)
                          for index in range(step["count"])]
-                ended = [name in done for name in names]
+                ended = [task in done for task in tasks]
                 if not (any(ended) if step.get("gang") else all(ended)):
-                    problems.append("%s is completed, step %d is not" %
-                                    (job, number))
+                    violations.append("%s is completed, step %d is not" %
+                                      (job, step_number))
         elif call["state"] == "failed":
             if max((count for task, count in failed.items()
                     if task.startswith(job)), default=0) < call["attempts"]:
-                problems.append(job + " is failed without its attempts")
+                violations.append(job + " is failed without its attempts")
         elif call["state"] == "cancelled" and not call["cancelled"]:
-            problems.append(job + " is cancelled, and nobody asked for it")
+            violations.append(job + " is cancelled, and nobody asked for it")
         elif call["accepted"] and call["state"] is None:
-            problems.append(job + " was accepted and has no end")
-    return problems
+            violations.append(job + " was accepted and has no end")
+    return violations
--- a/tests/support/fleet_trial.py
+++ b/tests/support/fleet_trial.py
@@ -197,11 +197,12 @@
         self.load.stopped = True
         with self.world.lock:
             history, jobs = list(self.world.history), dict(self.world.jobs)
-        return (fleet_checker.check_one_run(history) +
-                fleet_checker.check_room(history, self.vms) +
-                fleet_checker.check_order(history, jobs) +
-                fleet_checker.check_labels(history, jobs, self.vms) +
-                fleet_checker.check_outcomes(history, self.load.calls, jobs))
+        return (fleet_checker.check_exclusive_runs(history) +
+                fleet_checker.check_vm_capacity(history, self.vms) +
+                fleet_checker.check_step_order(history, jobs) +
+                fleet_checker.check_vm_labels(history, jobs, self.vms) +
+                fleet_checker.check_reported_outcomes(
+                    history, self.load.calls, jobs))
 
     def close(self):
         self.world.closed = True
--- a/tests/support/trial.py
+++ b/tests/support/trial.py
@@ -34,7 +34,7 @@
             timings=TIMINGS, network=self.network)
         self.load = workload.Workload(self.running, seed)
         # VMs that a fault keeps from their owner beyond the lease.
-        self.cut_off_vms = set()
+        self.isolated_vms = set()
         # A fault that kills, freezes or cuts breaks calls; others may not.
         self.breaks_calls = False
 
@@ -104,22 +104,22 @@
         load = self.load
         # A task that failed by a fault of its VM has run to its end too.
         return (checker.check_vm_capacity(history, self.running.vms,
-                                          self.cut_off_vms) +
-                checker.check_one_place(history) +
-                checker.check_answers(load.calls) +
+                                          self.isolated_vms) +
+                checker.check_no_concurrent_task_runs(history) +
+                checker.check_response_bodies(load.calls) +
                 ([] if self.breaks_calls else
-                 checker.check_none_cut_off(load.calls)) +
-                checker.check_not_run(history, load.calls) +
-                checker.check_at_most_once(history, load.calls) +
-                checker.check_done_ran(history, load.calls) +
-                checker.check_leaving(history) +
+                 checker.check_no_broken_calls(load.calls)) +
+                checker.check_not_run_outcomes(history, load.calls) +
+                checker.check_requests_at_most_once(history, load.calls) +
+                checker.check_done_outcomes(history, load.calls) +
+                checker.check_leaving_vms(history) +
                 checker.check_customer_limits(
                     history, {c: LIMITS for c in load.customers}) +
-                checker.check_tasks_once(history, load.jobs) +
-                checker.check_jobs_kept(history, load.jobs) +
-                checker.check_ended_once(history, self.cut_off_vms) +
-                checker.check_versions(load.observations, load.accepted,
-                                       IN_FORCE_NS))
+                checker.check_tasks_at_most_once(history, load.jobs) +
+                checker.check_jobs_completed(history, load.jobs) +
+                checker.check_no_rerun_after_end(history, self.isolated_vms) +
+                checker.check_contract_versions(
+                    load.observations, load.accepted, IN_FORCE_NS))
 
     def summary(self):
         outcomes = {}
