--- a/benchmark/front_door.py
+++ b/benchmark/front_door.py
@@ -34,11 +34,12 @@
     parser.add_argument("--rounds", type=int, default=3)
     options = parser.parse_args()
     build = os.path.abspath(options.build)
-    with cluster.Cluster(build, domains=1, daemons=3, vms=12) as running:
-        running.contract("load", requests=96)
+    with cluster.Cluster(build, domains=1, daemons=3, vms=12) as test_cluster:
+        test_cluster.create_contract("load", requests=96)
         through = ["http://127.0.0.1:%d/v1/customers/load/services/fitting/"
-                   "requests" % d.http_port for d in running.daemons.values()]
-        direct = [vm["url"] + "/requests" for vm in running.vms.values()]
+                   "requests" % d.http_port
+                   for d in test_cluster.daemons.values()]
+        direct = [vm["url"] + "/requests" for vm in test_cluster.vms.values()]
         for rate in map(int, options.rates.split(",")):
             pairs = [(measure(build, rate, options.seconds, direct),
                       measure(build, rate, options.seconds, through))
--- a/benchmark/slopes.py
+++ b/benchmark/slopes.py
@@ -55,7 +55,7 @@
                          starts_per_s=starts_per_s,
                          changes_per_s=changes_per_s,
                          requests_per_s=requests_per_s)
-        self.running = cluster.Cluster(build, domains=domains,
+        self.cluster = cluster.Cluster(build, domains=domains,
                                        daemons=daemons, vms=vms,
                                        milli_cores=64000, memory_mb=128000)
         self.versions = {}
@@ -63,15 +63,15 @@
 
     def prepare(self):
         size = self.size
-        daemons = list(self.running.daemons.values())
+        daemons = list(self.cluster.daemons.values())
 
         def create(number):
-            self.running.contract("team-%d" % number,
-                                  daemons[number % len(daemons)])
+            self.cluster.create_contract("team-%d" % number,
+                                         daemons[number % len(daemons)])
         with concurrent.futures.ThreadPoolExecutor(32) as pool:
             list(pool.map(create, range(size["customers"])))
-        for domain in self.running.domains:
-            self.submit(self.running.in_domain(domain)[0],
+        for domain in self.cluster.domains:
+            self.submit(self.cluster.daemons_in_domain(domain)[0],
                         size["tasks"], LONG_MS)
         time.sleep(2)
 
@@ -88,19 +88,21 @@
             tasks -= part
 
     def change(self, number):
-        daemon = next(iter(self.running.daemons.values()))
+        daemon = next(iter(self.cluster.daemons.values()))
         customer = "team-%d" % (number % self.size["customers"])
-        status, answer = daemon.operator("GET", "/v1/contracts/" + customer)
+        status, answer = daemon.operator_call("GET",
+                                              "/v1/contracts/" + customer)
         terms = dict(answer["terms"], task_start_within_ms=1000 + number)
-        daemon.operator("PUT", "/v1/contracts/" + customer,
-                        {"expected_version": answer["version"],
-                         "terms": terms})
+        daemon.operator_call("PUT", "/v1/contracts/" + customer,
+                             {"expected_version": answer["version"],
+                              "terms": terms})
 
     def load(self, seconds):
         """Keeps up the rates of starts, changes and requests."""
         size = self.size
-        daemons = list(self.running.daemons.values())
-        owners = [self.running.in_domain(d)[0] for d in self.running.domains]
+        daemons = list(self.cluster.daemons.values())
+        owners = [self.cluster.daemons_in_domain(d)[0]
+                  for d in self.cluster.domains]
         end = time.monotonic() + seconds
         begun = dict(starts=0, changes=0, requests=0)
         start = time.monotonic()
@@ -125,11 +127,11 @@
                 time.sleep(0.01)
 
     def table_counts(self):
-        return json.loads(cluster.call(self.running.platform_port, "GET",
+        return json.loads(cluster.call(self.cluster.platform_port, "GET",
                                        "/counts")[2])
 
     def measure(self, seconds):
-        daemons = list(self.running.daemons.values())
+        daemons = list(self.cluster.daemons.values())
         is_owner = {d.name: d.state()["is_owner"] for d in daemons}
         cpu = {d.name: cpu_seconds(d) for d in daemons}
         sent = {d.name: control_bytes(d) for d in daemons}
@@ -154,7 +156,7 @@
 
 def measure(build, seconds, **size):
     site = Site(build, **size)
-    with site.running:
+    with site.cluster:
         site.prepare()
         return site.measure(seconds)
 
--- a/benchmark/takeover.py
+++ b/benchmark/takeover.py
@@ -30,10 +30,11 @@
 
 def measure(build):
     """Returns seconds from the kill to the next task and to the next answer."""
-    with cluster.Cluster(build, domains=1, daemons=3, vms=10) as running:
-        running.contract("load", requests=96)
-        owner = running.owner("d1")
-        standby = [d for d in running.in_domain("d1") if d is not owner][0]
+    with cluster.Cluster(build, domains=1, daemons=3, vms=10) as test_cluster:
+        test_cluster.create_contract("load", requests=96)
+        owner = test_cluster.owner("d1")
+        standby = [d for d in test_cluster.daemons_in_domain("d1")
+                   if d is not owner][0]
         stop = threading.Event()
         thread = threading.Thread(target=submit_until, args=(standby, stop))
         thread.start()
@@ -49,7 +50,7 @@
         time.sleep(6)
         stop.set()
         thread.join()
-        starts = [line["t"] for line in running.history()
+        starts = [line["t"] for line in test_cluster.history()
                   if line["ev"] == "task_start" and line["t"] > killed]
         return (min(starts) - killed) / 1e9, (answered - killed) / 1e9
 
--- a/tests/failure/config_test.py
+++ b/tests/failure/config_test.py
@@ -14,31 +14,33 @@
 
     def test_change_waits_for_a_daemon_that_is_cut_off(self):
         network = relay.Network()
-        with cluster.Cluster(BUILD, network=network) as running:
-            answer = running.contract("refuge", requests=20)
-            terms = dict(answer["contract"]["terms"], requests=2)
-            far, near = running.daemons["d2-b"], running.daemons["d1-a"]
-            network.cut(far.name, "platform")
-            status, answer = near.operator(
+        with cluster.Cluster(BUILD, network=network) as test_cluster:
+            response = test_cluster.create_contract("refuge", requests=20)
+            terms = dict(response["contract"]["terms"], requests=2)
+            isolated, connected = (test_cluster.daemons["d2-b"],
+                                   test_cluster.daemons["d1-a"])
+            network.cut(isolated.name, "platform")
+            status, response = connected.operator_call(
                 "PUT", "/v1/contracts/refuge",
                 {"expected_version": 1, "terms": terms})
-            self.assertEqual(status, 202, answer)
-            self.assertFalse(answer["accepted"])
-            self.assertEqual(answer["waits_for"], [far.name])
-            self.assertEqual(cluster.request(far, "refuge", body="{}")[0],
+            self.assertEqual(status, 202, response)
+            self.assertFalse(response["accepted"])
+            self.assertEqual(response["waits_for"], [isolated.name])
+            self.assertEqual(cluster.request(isolated, "refuge", body="{}")[0],
                              "done")
             # Who knows of it applies the stricter limit already.
-            in_force = near.operator("GET", "/v1/contracts/refuge")[1]
-            self.assertEqual(in_force["in_force"]["requests"], 2)
-            self.assertEqual(in_force["version"], 1)
-            status, answer = near.operator(
+            contract = connected.operator_call("GET",
+                                               "/v1/contracts/refuge")[1]
+            self.assertEqual(contract["in_force"]["requests"], 2)
+            self.assertEqual(contract["version"], 1)
+            status, response = connected.operator_call(
                 "PUT", "/v1/contracts/refuge",
                 {"expected_version": 1, "terms": terms})
-            self.assertEqual(answer["error"]["name"], "change_pending")
+            self.assertEqual(response["error"]["name"], "change_pending")
             network.heal()
-            for daemon in running.daemons.values():
+            for daemon in test_cluster.daemons.values():
                 cluster.wait_until(
-                    lambda: daemon.operator(
+                    lambda: daemon.operator_call(
                         "GET", "/v1/contracts/refuge")[1]["version"] == 2,
                     16, daemon.name + " applies the change")
 
--- a/tests/failure/explain_test.py
+++ b/tests/failure/explain_test.py
@@ -10,7 +10,7 @@
 JOB = "00000000000000aa"
 
 
-def line(stamp, process, name, subject, detail):
+def log_line(stamp, process, name, subject, detail):
     return json.dumps({"stamp": stamp * 1_000_000, "process": process,
                        "level": "info", "event": 1, "name": name,
                        "subject": subject, "detail": detail})
@@ -29,22 +29,23 @@
                  job, *paths],
                 capture_output=True, text=True, check=False)
 
-    def test_story_over_processes_in_causal_order(self):
+    def test_events_of_processes_in_causal_order(self):
         owner = "\n".join([
             "garbage {not json}",
-            "  12.5 owner " + line(102, "owner", "run_started",
-                                   JOB + ".0.0.0#1", "vm-1"),
-            line(103, "owner", "vm_unreachable", "vm-1", "timeout"),
-            line(103, "owner", "vm_unreachable", "vm-2", "timeout"),
-            line(107, "owner", "run_lost", JOB + ".0.0.0#1",
-                 "vm-1 lease_lapsed"),
-            line(500, "owner", "ownership_lost", "pool", "epoch 1"),
+            "  12.5 owner " + log_line(102, "owner", "run_started",
+                                       JOB + ".0.0.0#1", "vm-1"),
+            log_line(103, "owner", "vm_unreachable", "vm-1", "timeout"),
+            log_line(103, "owner", "vm_unreachable", "vm-2", "timeout"),
+            log_line(107, "owner", "run_lost", JOB + ".0.0.0#1",
+                     "vm-1 lease_lapsed"),
+            log_line(500, "owner", "ownership_lost", "pool", "epoch 1"),
         ])
-        front = line(101, "front", "job_accepted", JOB, "q 1x100m/1MB/0g")
-        done = self.explain(JOB, owner, front, output="json")
-        self.assertEqual(done.returncode, 0, done.stderr)
+        frontend = log_line(101, "front", "job_accepted", JOB,
+                            "q 1x100m/1MB/0g")
+        result = self.explain(JOB, owner, frontend, output="json")
+        self.assertEqual(result.returncode, 0, result.stderr)
         names = [(each["process"], each["name"], each["subject"])
-                 for each in json.loads(done.stdout)]
+                 for each in json.loads(result.stdout)]
         self.assertEqual(names, [
             ("front", "job_accepted", JOB),
             ("owner", "run_started", JOB + ".0.0.0#1"),
@@ -52,15 +53,15 @@
             ("owner", "run_lost", JOB + ".0.0.0#1")])
 
     def test_unknown_job(self):
-        done = self.explain("ff", line(1, "a", "job_accepted", JOB, "q"))
-        self.assertEqual(done.returncode, 1)
-        self.assertIn("no line about ff", done.stderr)
+        result = self.explain("ff", log_line(1, "a", "job_accepted", JOB, "q"))
+        self.assertEqual(result.returncode, 1)
+        self.assertIn("no line about ff", result.stderr)
 
     def test_missing_file(self):
-        done = subprocess.run(
+        result = subprocess.run(
             [f"{BUILD}/programs/cuminroad", "explain", JOB, "/nowhere"],
             capture_output=True, text=True, check=False)
-        self.assertEqual(done.returncode, 2)
+        self.assertEqual(result.returncode, 2)
 
 
 if __name__ == "__main__":
--- a/tests/failure/fault_test.py
+++ b/tests/failure/fault_test.py
@@ -18,15 +18,16 @@
     """Each test is one trial under load."""
 
 
-def add_test(name, *strikes):
+def add_test(name, *fault_functions):
     def test(self):
-        subject = trial.Trial(seed=7)
-        subject.run(*strikes)
-        print(name + ":", subject.summary(), flush=True)
+        fault_trial = trial.Trial(seed=7)
+        fault_trial.run(*fault_functions)
+        print(name + ":", fault_trial.summary(), flush=True)
         # A trial in which little was done would prove little.
-        done = sum(call["outcome"] == "done" for call in subject.load.calls)
+        done = sum(call["outcome"] == "done"
+                   for call in fault_trial.load.calls)
         self.assertGreater(done, 50)
-        self.assertGreater(len(subject.load.jobs), 5)
+        self.assertGreater(len(fault_trial.load.jobs), 5)
     setattr(FaultTest, "test_" + name, test)
 
 
@@ -37,7 +38,7 @@
                       (faults.freeze_owner, faults.vm_unreachable)]:
     pair = first.__name__ + "_and_" + second.__name__
     if not GROUP or pair in GROUP.split(","):
-        add_test(pair, faults.together(first, second))
+        add_test(pair, faults.combine(first, second))
 
 if __name__ == "__main__":
     unittest.main()
--- a/tests/failure/fleet_soak.py
+++ b/tests/failure/fleet_soak.py
@@ -23,11 +23,13 @@
     names = ", ".join("%s at %.1f for %.1f" % (fault.__name__, at, length)
                       for at, fault, length in chosen)
     trial = fleet_trial.Trial(seed, daemons=rng.randint(1, 3))
-    return soak_seeds.play(seed, names, lambda: trial.run(chosen, seconds),
-                           trial.summary)
+    return soak_seeds.run_trial(seed, names,
+                                lambda: trial.run(chosen, seconds),
+                                trial.summary)
 
 
 if __name__ == "__main__":
     soak_seeds.main(
         __doc__, lambda seed, options: run_seed(seed, options.seconds),
-        lambda parser: parser.add_argument("--seconds", type=float, default=10))
+        lambda parser: parser.add_argument("--seconds", type=float,
+                                           default=10))
--- a/tests/failure/share_test.py
+++ b/tests/failure/share_test.py
@@ -8,16 +8,16 @@
 import cluster
 
 BUILD = os.environ["CUMINROAD_BUILD"]
-LIMITS = dict(milli_cores=12000, memory_mb=24000, requests=8)
+CONTRACT_LIMITS = dict(milli_cores=12000, memory_mb=24000, requests=8)
 
 
 class ShareTest(unittest.TestCase):
     """Two domains; the contract gives each half at first."""
 
     def test_job_larger_than_an_even_part_runs(self):
-        with cluster.Cluster(BUILD) as running:
-            running.contract("refuge", **LIMITS)
-            daemon = running.in_domain("d1")[0]
+        with cluster.Cluster(BUILD) as test_cluster:
+            test_cluster.create_contract("refuge", **CONTRACT_LIMITS)
+            daemon = test_cluster.daemons_in_domain("d1")[0]
             job = dict(customer="refuge", kind="gang", tasks=10,
                        milli_cores=1000, memory_mb=1000, duration_ms=300)
             ids = []
@@ -26,7 +26,7 @@
                 self.assertEqual(status, 202, text)
                 ids.append(json.loads(text)["id"])
             # A part of what moved may be wanted back.
-            other = running.in_domain("d2")[0]
+            other = test_cluster.daemons_in_domain("d2")[0]
             status, _, text = other.call(
                 "POST", "/v1/jobs", dict(job, kind="batch", tasks=4))
             ids.append(json.loads(text)["id"])
@@ -37,12 +37,12 @@
                            for each in ids)
             cluster.wait_until(finished, 30, "jobs end")
             self.assertEqual([], checker.check_customer_limits(
-                running.history(), {"refuge": LIMITS}))
+                test_cluster.history(), {"refuge": CONTRACT_LIMITS}))
 
     def test_job_larger_than_the_contract_is_refused(self):
-        with cluster.Cluster(BUILD) as running:
-            running.contract("refuge", **LIMITS)
-            daemon = running.in_domain("d1")[0]
+        with cluster.Cluster(BUILD) as test_cluster:
+            test_cluster.create_contract("refuge", **CONTRACT_LIMITS)
+            daemon = test_cluster.daemons_in_domain("d1")[0]
             status, _, text = daemon.call("POST", "/v1/jobs", dict(
                 customer="refuge", kind="gang", tasks=13, milli_cores=1000,
                 memory_mb=1000))
--- a/tests/failure/soak.py
+++ b/tests/failure/soak.py
@@ -20,19 +20,20 @@
     rng = random.Random(seed)
     chosen = [rng.choice(faults.ALL) for _ in range(rng.randint(1, 2))]
     if len(chosen) == 2 and rng.random() < 0.5:
-        chosen = [faults.together(*chosen)]
-    names = ", ".join(each.__name__ for each in chosen)
-    subject = trial.Trial(seed)
-    return soak_seeds.play(seed, names, lambda: subject.run(*chosen),
-                           subject.summary)
+        chosen = [faults.combine(*chosen)]
+    fault_names = ", ".join(each.__name__ for each in chosen)
+    fault_trial = trial.Trial(seed)
+    return soak_seeds.run_trial(seed, fault_names,
+                                lambda: fault_trial.run(*chosen),
+                                fault_trial.summary)
 
 
 def run_fault(options):
     if not options.fault:
         return False
-    subject = trial.Trial(options.first)
-    subject.run(getattr(faults, options.fault))
-    print(subject.summary())
+    fault_trial = trial.Trial(options.first)
+    fault_trial.run(getattr(faults, options.fault))
+    print(fault_trial.summary())
     return True
 
 
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -15,41 +15,41 @@
 import tempfile
 import time
 
-TOKEN = "operator-secret"
+OPERATOR_TOKEN = "operator-secret"
 START_TIMEOUT_S = 20
 
 
 # Below the range from which the system takes ports for connections.
-PORT_BLOCKS = range(10000, 32000, 100)
+PORT_BLOCK_STARTS = range(10000, 32000, 100)
 
 
-class Ports:
+class PortBlock:
     """A block of ports of one cluster's own, held by a socket on its first."""
 
     def __init__(self):
-        self._guard = socket.socket()
-        blocks = list(PORT_BLOCKS)
+        self._reservation = socket.socket()
+        blocks = list(PORT_BLOCK_STARTS)
         random.SystemRandom().shuffle(blocks)
-        for self._next in blocks:
+        for self._last_port in blocks:
             try:
-                self._guard.bind(("127.0.0.1", self._next))
+                self._reservation.bind(("127.0.0.1", self._last_port))
                 return
             except OSError:
                 continue
         raise AssertionError("no block of ports is free")
 
-    def take(self):
+    def allocate(self):
         while True:
-            self._next += 1
+            self._last_port += 1
             with socket.socket() as probe:
                 try:
-                    probe.bind(("127.0.0.1", self._next))
-                    return self._next
+                    probe.bind(("127.0.0.1", self._last_port))
+                    return self._last_port
                 except OSError:
                     continue
 
     def close(self):
-        self._guard.close()
+        self._reservation.close()
 
 
 def call(port, method, path, body=None, headers=None, timeout=40):
@@ -59,13 +59,13 @@
         if isinstance(body, (dict, list)):
             body = json.dumps(body)
         connection.request(method, path, body=body, headers=headers or {})
-        answer = connection.getresponse()
-        return answer.status, dict(answer.getheaders()), answer.read()
+        response = connection.getresponse()
+        return response.status, dict(response.getheaders()), response.read()
     finally:
         connection.close()
 
 
-def wait_until(condition, timeout, what):
+def wait_until(condition, timeout, description):
     """Waits until the condition holds; fails loudly where it never does."""
     end = time.monotonic() + timeout
     while True:
@@ -76,7 +76,7 @@
         if value:
             return value
         if time.monotonic() > end:
-            raise AssertionError("timed out: " + what)
+            raise AssertionError("timed out: " + description)
         time.sleep(0.02)
 
 
@@ -93,9 +93,9 @@
         with open(self.log_path, "a") as log:
             self.popen = subprocess.Popen(self.command, stdout=log, stderr=log)
 
-    def signal(self, number):
+    def signal(self, signal_number):
         if self.alive():
-            self.popen.send_signal(number)
+            self.popen.send_signal(signal_number)
 
     def alive(self):
         return self.popen is not None and self.popen.poll() is None
@@ -123,13 +123,13 @@
     def ready(self):
         return self.call("GET", "/readyz", timeout=2)[0] == 200
 
-    def operator(self, method, path, body=None):
+    def operator_call(self, method, path, body=None):
         status, _, text = self.call(
-            method, path, body, {"Authorization": "Bearer " + TOKEN})
+            method, path, body, {"Authorization": "Bearer " + OPERATOR_TOKEN})
         return status, json.loads(text)
 
     def state(self):
-        return self.operator("GET", "/v1/state")[1]
+        return self.operator_call("GET", "/v1/state")[1]
 
 
 class Cluster:
@@ -142,8 +142,8 @@
         self.directory = tempfile.mkdtemp(prefix="cuminroad-")
         self.domains = ["d%d" % (n + 1) for n in range(domains)]
         self.timings = timings or {}
-        self.ports = Ports()
-        self.platform_port = self.ports.take()
+        self.ports = PortBlock()
+        self.platform_port = self.ports.allocate()
         self.platform = Process(
             "platform", [self._binary("standins/standin_platform"),
                          str(self.platform_port)], self.directory)
@@ -157,11 +157,12 @@
         for domain in self.domains:
             shapes = vm_shapes or [shape] * vms
             self._add_backend(domain, shapes)
-        places = {"%s-%s" % (domain, "abcdefgh"[number]):
-                  (domain, (self.ports.take(), self.ports.take()))
-                  for domain in self.domains for number in range(daemons)}
-        for name, (domain, own_ports) in places.items():
-            self._add_daemon(name, domain, own_ports, places)
+        daemon_specs = {
+            "%s-%s" % (domain, "abcdefgh"[number]):
+            (domain, (self.ports.allocate(), self.ports.allocate()))
+            for domain in self.domains for number in range(daemons)}
+        for name, (domain, daemon_ports) in daemon_specs.items():
+            self._add_daemon(name, domain, daemon_ports, daemon_specs)
 
     def _binary(self, path):
         return os.path.join(self.build, path)
@@ -170,7 +171,7 @@
         return os.path.join(self.directory, "history-%s.jsonl" % domain)
 
     def _add_backend(self, domain, shapes):
-        port = self.ports.take()
+        port = self.ports.allocate()
         specs = []
         for number, shape in enumerate(shapes):
             name = "%s-vm%d" % (domain, number + 1)
@@ -189,30 +190,30 @@
             [self._binary("standins/standin_backend"), str(port), path,
              self.history_path(domain)], self.directory)
 
-    def _map_addresses(self, name, places):
+    def _map_addresses(self, name, daemon_specs):
         """Returns the address map of a daemon, and its platform's port."""
         if self.network is None:
             return {}, self.platform_port
         targets = [("backend-" + domain, port)
                    for domain, port in self.backend_ports.items()]
-        targets += [(other, port) for other, (_, ports) in places.items()
+        targets += [(other, port) for other, (_, ports) in daemon_specs.items()
                     if other != name for port in ports]
         addresses = {}
         for target, port in targets:
-            here = self.network.link(name, target, port)
-            addresses["127.0.0.1:%d" % port] = "127.0.0.1:%d" % here
-        return addresses, self.network.link(name, "platform",
-                                            self.platform_port)
+            relay_port = self.network.add_link(name, target, port)
+            addresses["127.0.0.1:%d" % port] = "127.0.0.1:%d" % relay_port
+        return addresses, self.network.add_link(name, "platform",
+                                                self.platform_port)
 
-    def _add_daemon(self, name, domain, ports, places):
-        addresses, platform_port = self._map_addresses(name, places)
+    def _add_daemon(self, name, domain, ports, daemon_specs):
+        addresses, platform_port = self._map_addresses(name, daemon_specs)
         settings = {
             "name": name, "failure_domain": domain,
             "all_failure_domains": self.domains,
             "http": {"address": "127.0.0.1", "port": ports[0]},
             "peer": {"address": "127.0.0.1", "port": ports[1]},
             "platform_url": "http://127.0.0.1:%d" % platform_port,
-            "operator_token": TOKEN, "timings_ms": self.timings,
+            "operator_token": OPERATOR_TOKEN, "timings_ms": self.timings,
             "address_map": addresses}
         path = os.path.join(self.directory, name + ".json")
         with open(path, "w") as file:
@@ -230,7 +231,7 @@
             raise
         return self
 
-    def __exit__(self, kind, value, trace):
+    def __exit__(self, kind, value, traceback):
         self.stop(keep=kind is not None)
 
     def start(self):
@@ -243,18 +244,19 @@
             wait_until(lambda: call(port, "GET", "/vm/%s-vm1/holder" % domain),
                        START_TIMEOUT_S, "backend starts")
         for vm in self.vms.values():
-            self.platform_call("/vms/register", vm)
+            self.post_to_platform("/vms/register", vm)
         for daemon in self.daemons.values():
             daemon.start()
         for daemon in self.daemons.values():
-            wait_until(daemon.ready, START_TIMEOUT_S, daemon.name + " is ready")
+            wait_until(daemon.ready, START_TIMEOUT_S,
+                       daemon.name + " is ready")
         for domain in self.domains:
             self.wait_for_owner(domain)
 
     def stop(self, keep=False):
-        everything = (list(self.daemons.values()) +
-                      list(self.backends.values()) + [self.platform])
-        for process in everything:
+        processes = (list(self.daemons.values()) +
+                     list(self.backends.values()) + [self.platform])
+        for process in processes:
             process.signal(signal.SIGCONT)
             process.kill()
         self.ports.close()
@@ -263,11 +265,11 @@
         else:
             shutil.rmtree(self.directory, ignore_errors=True)
 
-    def in_domain(self, domain):
+    def daemons_in_domain(self, domain):
         return [d for d in self.daemons.values() if d.domain == domain]
 
     def owner(self, domain):
-        for daemon in self.in_domain(domain):
+        for daemon in self.daemons_in_domain(domain):
             if not daemon.alive():
                 continue
             try:
@@ -279,36 +281,37 @@
 
     def wait_for_owner(self, domain, timeout=START_TIMEOUT_S):
         """Waits for an owner that holds every live VM of its domain."""
-        def settled():
+        def owner_holding_vms():
             owner = self.owner(domain)
             if owner is None:
                 return None
             vms = owner.state().get("vms", [])
             usable = [v for v in vms if v["condition"] != "unclaimed"]
             return owner if vms and len(usable) == len(vms) else None
-        return wait_until(settled, timeout, "owner of " + domain)
+        return wait_until(owner_holding_vms, timeout, "owner of " + domain)
 
-    def platform_call(self, path, body):
+    def post_to_platform(self, path, body):
         return call(self.platform_port, "POST", path, body)
 
-    def vm_control(self, vm, **faults):
+    def control_vm(self, vm, **faults):
         domain = self.vms[vm]["domain"]
         return call(self.backend_ports[domain], "POST",
                     "/vm/%s/control" % vm, faults)
 
-    def contract(self, customer, daemon=None, **terms):
+    def create_contract(self, customer, daemon=None, **terms):
         """Creates a contract and waits until it is in force everywhere."""
-        full = dict(milli_cores=1000000, memory_mb=1000000, accelerators=1000,
-                    requests=1000, task_start_within_ms=60000,
-                    request_start_within_ms=2000)
-        full.update(terms)
+        all_terms = dict(milli_cores=1000000, memory_mb=1000000,
+                         accelerators=1000, requests=1000,
+                         task_start_within_ms=60000,
+                         request_start_within_ms=2000)
+        all_terms.update(terms)
         daemon = daemon or next(iter(self.daemons.values()))
-        status, answer = daemon.operator(
+        status, response = daemon.operator_call(
             "PUT", "/v1/contracts/" + customer,
-            {"expected_version": 0, "operator": "test", "terms": full})
+            {"expected_version": 0, "operator": "test", "terms": all_terms})
         if status != 200:
-            raise AssertionError("contract not accepted: %s" % answer)
-        return answer
+            raise AssertionError("contract not accepted: %s" % response)
+        return response
 
     def history(self):
         """Returns what all backend servers saw, in the order of time."""
@@ -327,7 +330,7 @@
     """Sends a service request. Returns (outcome, status, body)."""
     all_headers = {"X-Idempotent": "true" if idempotent else "false"}
     all_headers.update(headers or {})
-    status, answered, text = daemon.call(
+    status, response_headers, text = daemon.call(
         "POST", "/v1/customers/%s/services/%s/requests" % (customer, service),
         body, all_headers, timeout)
-    return answered.get("X-Outcome", "error"), status, text
+    return response_headers.get("X-Outcome", "error"), status, text
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -7,21 +7,21 @@
 LONGER_THAN_LEASES_S = 7
 
 
-def together(*several):
+def combine(*fault_functions):
     """Returns one fault that strikes with all of these at once."""
-    def strike(trial):
-        threads = [threading.Thread(target=each, args=(trial,))
-                   for each in several]
+    def run_all(trial):
+        threads = [threading.Thread(target=fault, args=(trial,))
+                   for fault in fault_functions]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-    strike.__name__ = "+".join(each.__name__ for each in several)
-    return strike
+    run_all.__name__ = "+".join(fault.__name__ for fault in fault_functions)
+    return run_all
 
 
 def vms_of_domain(trial, domain="d1"):
-    return {name for name, vm in trial.running.vms.items()
+    return {name for name, vm in trial.cluster.vms.items()
             if vm["domain"] == domain}
 
 
@@ -50,7 +50,7 @@
 
 
 def freeze_backend(trial):
-    backend = trial.running.backends["d1"]
+    backend = trial.cluster.backends["d1"]
     trial.isolated_vms |= vms_of_domain(trial)
     backend.signal(signal.SIGSTOP)
     time.sleep(LONGER_THAN_LEASES_S)
@@ -90,9 +90,9 @@
 
 def cut_domain(trial):
     """The domain is cut off from the platform and the other domain."""
-    others = [d.name for d in trial.running.daemons.values()
+    others = [d.name for d in trial.cluster.daemons.values()
               if d.domain != "d1"]
-    for daemon in trial.running.in_domain("d1"):
+    for daemon in trial.cluster.daemons_in_domain("d1"):
         for target in others + ["platform"]:
             trial.network.cut(daemon.name, target)
         for source in others:
@@ -102,50 +102,50 @@
 
 
 def platform_down(trial):
-    trial.platform(down=True)
+    trial.control_platform(down=True)
     time.sleep(5)
-    trial.platform(down=False)
+    trial.control_platform(down=False)
 
 
 def platform_slow(trial):
-    trial.platform(slow_ms=700)
+    trial.control_platform(slow_ms=700)
     time.sleep(5)
-    trial.platform(slow_ms=0)
+    trial.control_platform(slow_ms=0)
 
 
 def platform_loses_replies(trial):
     for _ in range(4):
-        trial.platform(lose_replies=2)
+        trial.control_platform(lose_replies=2)
         time.sleep(1)
 
 
 def vm_leaves(trial):
-    trial.running.vm_control("d1-vm1", leaving=True)
+    trial.cluster.control_vm("d1-vm1", leaving=True)
     time.sleep(LONGER_THAN_LEASES_S)
 
 
 def vm_unreachable(trial):
     trial.isolated_vms.add("d1-vm2")
-    trial.running.vm_control("d1-vm2", unreachable=True)
+    trial.cluster.control_vm("d1-vm2", unreachable=True)
     time.sleep(LONGER_THAN_LEASES_S + 2)
-    trial.running.vm_control("d1-vm2", unreachable=False)
+    trial.cluster.control_vm("d1-vm2", unreachable=False)
 
 
 def vm_refuses_starts(trial):
-    trial.running.vm_control("d1-vm3", refuse_starts=True)
+    trial.cluster.control_vm("d1-vm3", refuse_starts=True)
     time.sleep(3)
-    trial.running.vm_control("d1-vm3", refuse_starts=False)
+    trial.cluster.control_vm("d1-vm3", refuse_starts=False)
 
 
 def vm_loses_answers(trial):
-    trial.running.vm_control("d1-vm3", hang_requests=True)
+    trial.cluster.control_vm("d1-vm3", hang_requests=True)
     time.sleep(4)
-    trial.running.vm_control("d1-vm3", hang_requests=False)
+    trial.cluster.control_vm("d1-vm3", hang_requests=False)
 
 
 def restart_all(trial):
     """Replaces every daemon, one after the other, by a planned stop."""
-    for daemon in trial.running.daemons.values():
+    for daemon in trial.cluster.daemons.values():
         daemon.signal(signal.SIGTERM)
         daemon.wait(30)
         daemon.start()
@@ -154,15 +154,15 @@
 
 def kill_owner_while_platform_is_down(trial):
     trial.breaks_calls = True
-    trial.platform(down=True)
+    trial.control_platform(down=True)
     time.sleep(1)
-    for daemon in trial.running.in_domain("d1"):
+    for daemon in trial.cluster.daemons_in_domain("d1"):
         # While the platform is down every daemon still answers operators.
         if daemon.state()["is_owner"]:
             daemon.kill()
             break
     time.sleep(LONGER_THAN_LEASES_S)
-    trial.platform(down=False)
+    trial.control_platform(down=False)
     daemon.start()
 
 
--- a/tests/support/fleet_faults.py
+++ b/tests/support/fleet_faults.py
@@ -57,7 +57,7 @@
         trial.network.cut(source, target, directions)
     time.sleep(seconds)
     for source, target in pairs:
-        for link in trial.network.between(source, target):
+        for link in trial.network.links_between(source, target):
             link.heal()
 
 
@@ -84,7 +84,8 @@
     inside = {each.name for each in trial.daemons + trial.vms
               if each.zone == zone}
     pairs = [(daemon.name, target.name)
-             for daemon in trial.daemons for target in trial.daemons + trial.vms
+             for daemon in trial.daemons
+             for target in trial.daemons + trial.vms
              if (daemon.name in inside) != (target.name in inside)]
     pairs += [(daemon.name, platform) for daemon in trial.daemons
               if daemon.name in inside for platform in ("store", "advisor")]
--- a/tests/support/fleet_load.py
+++ b/tests/support/fleet_load.py
@@ -42,7 +42,8 @@
             self.trial.world.jobs[job] = body
             queue = self.rng.choice(list(self.trial.queues))
             call = {"job": job, "queue": queue, "state": None, "problems": [],
-                    "open": {}, "accepted": None, "refused": False, "cancelled": False,
+                    "open": {}, "accepted": None, "refused": False,
+                    "cancelled": False,
                     "attempts": self.trial.queues[queue]["attempts"]}
             self.calls.append(call)
             cancels = self.rng.random() < 0.05
@@ -59,10 +60,12 @@
         headers = {"Host": "h", "Deadline-Ms": "3000",
                    "Content-Type": "application/json"}
         # Connections stay open until the daemon closes them or is gone.
-        connection = call["open"].pop(port, None) or http.client.HTTPConnection(
-            "127.0.0.1", port, timeout=3.5)
+        connection = (call["open"].pop(port, None) or
+                      http.client.HTTPConnection("127.0.0.1", port,
+                                                 timeout=3.5))
         try:
-            connection.request(method, path, body and json.dumps(body), headers)
+            connection.request(method, path, body and json.dumps(body),
+                               headers)
             answer = connection.getresponse()
             text = answer.read()
             call["open"][port] = connection
--- a/tests/support/fleet_trial.py
+++ b/tests/support/fleet_trial.py
@@ -42,7 +42,7 @@
     def __init__(self, seed, daemons=2, vms=3):
         self.rng = random.Random(seed)
         self.directory = tempfile.mkdtemp(prefix="cuminroad-fleet-")
-        self.ports = cluster.Ports()
+        self.ports = cluster.PortBlock()
         self.network = relay.Network()
         self.store = operator_store.Store()
         self.world = operator_vms.World("svc", seed)
@@ -61,25 +61,26 @@
             for number in range(daemons):
                 self.daemons.append(Daemon(
                     "%s-%d" % (zone, number), zone,
-                    [self.ports.take() for _ in range(4)]))
+                    [self.ports.allocate() for _ in range(4)]))
         self.connect()
         self.load = fleet_load.Load(self, random.Random(seed + 1))
         self.dark_until = {}
 
     def add_vm(self, name, zone):
         vm = operator_vms.Vm(self.world, name, zone, CAPACITY, zone)
-        vm.port = self.ports.take()
+        vm.port = self.ports.allocate()
         self.world.vms[name] = vm
         self.vms.append(vm)
         operator_servers.serve_vm(vm)
 
     def connect(self):
-        advisor = self.ports.take()
+        advisor = self.ports.allocate()
         operator_servers.serve_advisor(advisor, self.world)
         for daemon in self.daemons:
-            store = self.ports.take()
+            store = self.ports.allocate()
             operator_servers.serve_store(store, self.store, daemon.name)
-            link = lambda name, port: self.network.link(daemon.name, name, port)
+            link = lambda name, port: self.network.add_link(
+                daemon.name, name, port)
             view = {vm.port: link(vm.name, vm.port) for vm in self.vms}
             view.update((other.peer, link(other.name, other.peer))
                         for other in self.daemons if other is not daemon)
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -21,31 +21,32 @@
         self.port = None
 
     async def open(self):
-        server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._handle_connection,
+                                            "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
 
-    async def _serve(self, reader, writer):
+    async def _handle_connection(self, reader, writer):
         self._writers.add(writer)
-        onward = None
+        target_writer = None
         try:
             while any(self._cut.values()):
                 await asyncio.sleep(0.05)
                 if writer.is_closing():
                     return
-            there, onward = await asyncio.open_connection("127.0.0.1",
-                                                          self._target_port)
-            self._writers.add(onward)
-            await asyncio.gather(self._pump(reader, onward, "forth"),
-                                 self._pump(there, writer, "back"))
+            target_reader, target_writer = await asyncio.open_connection(
+                "127.0.0.1", self._target_port)
+            self._writers.add(target_writer)
+            await asyncio.gather(self._forward(reader, target_writer, "forth"),
+                                 self._forward(target_reader, writer, "back"))
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            for each in (writer, onward):
+            for each in (writer, target_writer):
                 if each is not None:
                     self._writers.discard(each)
                     each.close()
 
-    async def _pump(self, reader, writer, direction):
+    async def _forward(self, reader, writer, direction):
         while True:
             data = await reader.read(65536)
             if not data:
@@ -61,15 +62,16 @@
         writer.close()
 
     def cut(self, directions=("forth", "back")):
-        self._loop.call_soon_threadsafe(self._set, directions, True)
+        self._loop.call_soon_threadsafe(self._set_cut, directions, True)
 
     def heal(self):
-        self._loop.call_soon_threadsafe(self._set, ("forth", "back"), False)
+        self._loop.call_soon_threadsafe(self._set_cut, ("forth", "back"),
+                                        False)
 
     def delay(self, seconds):
         self._delay_s = seconds
 
-    def _set(self, directions, value):
+    def _set_cut(self, directions, value):
         was_cut = any(self._cut.values())
         for direction in directions:
             self._cut[direction] = value
@@ -86,28 +88,28 @@
         self._links = {}
         threading.Thread(target=self._loop.run_forever, daemon=True).start()
 
-    def link(self, source, target_name, target_port):
+    def add_link(self, source, target_name, target_port):
         """Returns the port that source uses to reach the target."""
         link = Link(self._loop, target_port)
         asyncio.run_coroutine_threadsafe(link.open(), self._loop).result()
         self._links.setdefault((source, target_name), []).append(link)
         return link.port
 
-    def between(self, source, target):
+    def links_between(self, source, target):
         """Returns the links from source to target; None stands for any."""
         return [link for (a, b), links in self._links.items()
                 if source in (None, a) and target in (None, b)
                 for link in links]
 
     def cut(self, source, target, directions=("forth", "back")):
-        for link in self.between(source, target):
+        for link in self.links_between(source, target):
             link.cut(directions)
 
     def delay(self, source, target, seconds):
-        for link in self.between(source, target):
+        for link in self.links_between(source, target):
             link.delay(seconds)
 
     def heal(self):
-        for link in self.between(None, None):
+        for link in self.links_between(None, None):
             link.heal()
             link.delay(0)
--- a/tests/support/soak_seeds.py
+++ b/tests/support/soak_seeds.py
@@ -6,18 +6,19 @@
 import sys
 
 
-def play(seed, names, run, summary):
+def run_trial(seed, fault_names, run, summary):
     """Runs one trial and prints a line; returns whether it passed."""
     try:
         run()
     except BaseException as error:
-        print("seed %d FAILED (%s): %s" % (seed, names, error), flush=True)
+        print("seed %d FAILED (%s): %s" % (seed, fault_names, error),
+              flush=True)
         return False
-    print("seed %d ok (%s): %s" % (seed, names, summary()), flush=True)
+    print("seed %d ok (%s): %s" % (seed, fault_names, summary()), flush=True)
     return True
 
 
-def main(description, run_seed, add_options=None, before=None):
+def main(description, run_seed, add_options=None, run_before=None):
     """run_seed(seed, options) returns whether the seed passed. before(options)
     returns whether it did all that was asked."""
     parser = argparse.ArgumentParser(description=description)
@@ -28,7 +29,7 @@
         add_options(parser)
     options = parser.parse_args()
     os.environ["CUMINROAD_BUILD"] = os.path.abspath(options.build)
-    if before and before(options):
+    if run_before and run_before(options):
         return
     seeds = range(options.first, options.first + options.seeds)
     failed = []
--- a/tests/support/trial.py
+++ b/tests/support/trial.py
@@ -15,12 +15,12 @@
 import workload
 
 # Short leases, so that a trial of seconds sees them lapse.
-TIMINGS = dict(task_lease=6000, task_renewal=1500, grant_lease=4000,
-               grant_renewal=500, max_request_time=3000, vm_list_poll=500,
-               config_poll=500, shutdown_linger=300)
-LIMITS = dict(milli_cores=24000, memory_mb=24000, requests=12)
-IN_FORCE_NS = 16 * 10**9
-SETTLE_S = 60
+TIMINGS_MS = dict(task_lease=6000, task_renewal=1500, grant_lease=4000,
+                  grant_renewal=500, max_request_time=3000, vm_list_poll=500,
+                  config_poll=500, shutdown_linger=300)
+CONTRACT_LIMITS = dict(milli_cores=24000, memory_mb=24000, requests=12)
+MAX_IN_FORCE_DELAY_NS = 16 * 10**9
+JOBS_END_TIMEOUT_S = 60
 
 
 class Trial:
@@ -28,82 +28,82 @@
 
     def __init__(self, seed, domains=2, daemons=2, vms=3):
         self.network = relay.Network()
-        self.running = cluster.Cluster(
+        self.cluster = cluster.Cluster(
             os.environ["CUMINROAD_BUILD"], domains=domains, daemons=daemons,
             vms=vms, slots=4, milli_cores=8000, memory_mb=16000,
-            timings=TIMINGS, network=self.network)
-        self.load = workload.Workload(self.running, seed)
+            timings=TIMINGS_MS, network=self.network)
+        self.load = workload.Workload(self.cluster, seed)
         # VMs that a fault keeps from their owner beyond the lease.
         self.isolated_vms = set()
         # A fault that kills, freezes or cuts breaks calls; others may not.
         self.breaks_calls = False
 
-    def run(self, *faults, seconds=4):
+    def run(self, *faults, load_after_faults_s=4):
         """Plays the faults one after the other under load, and checks."""
-        with self.running:
+        with self.cluster:
             for customer in self.load.customers:
-                self.running.contract(customer, **LIMITS)
+                self.cluster.create_contract(customer, **CONTRACT_LIMITS)
             self.load.start()
             time.sleep(1)
             for fault in faults:
                 fault(self)
-            time.sleep(seconds)
-            self.heal()
+            time.sleep(load_after_faults_s)
+            self.clear_faults()
             self.load.stop()
             self.wait_for_jobs()
-            self.problems = self.check()
-            if self.problems:
-                raise AssertionError("\n".join(self.problems[:20]))
+            self.violations = self.check()
+            if self.violations:
+                raise AssertionError("\n".join(self.violations[:20]))
 
-    def heal(self):
-        self.platform(down=False, slow_ms=0, lose_replies=0)
+    def clear_faults(self):
+        self.control_platform(down=False, slow_ms=0, lose_replies=0)
         self.network.heal()
-        for process in (list(self.running.daemons.values()) +
-                        list(self.running.backends.values())):
+        for process in (list(self.cluster.daemons.values()) +
+                        list(self.cluster.backends.values())):
             process.signal(signal.SIGCONT)
-        for daemon in self.running.daemons.values():
+        for daemon in self.cluster.daemons.values():
             if not daemon.alive():
                 daemon.start()
-        for vm in self.running.vms:
-            self.running.vm_control(vm, unreachable=False, slow_ms=0,
+        for vm in self.cluster.vms:
+            self.cluster.control_vm(vm, unreachable=False, slow_ms=0,
                                     hang_requests=False, refuse_starts=False,
                                     fail_tasks=False)
 
-    def platform(self, **faults):
-        self.running.platform_call("/control", faults)
+    def control_platform(self, **faults):
+        self.cluster.post_to_platform("/control", faults)
 
     def owner(self, domain="d1"):
-        return cluster.wait_until(lambda: self.running.owner(domain), 20,
+        return cluster.wait_until(lambda: self.cluster.owner(domain), 20,
                                   "owner of " + domain)
 
     def standby(self, domain="d1"):
         owner = self.owner(domain)
-        return next(d for d in self.running.in_domain(domain)
+        return next(d for d in self.cluster.daemons_in_domain(domain)
                     if d is not owner)
 
-    def unfinished(self):
-        left = []
+    def unfinished_jobs(self):
+        unfinished = []
         for job in self.load.jobs:
-            daemon = next(iter(self.running.daemons.values()))
+            daemon = next(iter(self.cluster.daemons.values()))
             status, _, text = daemon.call("GET", "/v1/jobs/" + job["id"])
             if status != 200 or json.loads(text)["state"] != "finished":
-                left.append((job["id"], status, text))
-        return left
+                unfinished.append((job["id"], status, text))
+        return unfinished
 
     def wait_for_jobs(self):
         try:
-            cluster.wait_until(lambda: not self.unfinished(), SETTLE_S,
-                               "jobs end")
+            cluster.wait_until(lambda: not self.unfinished_jobs(),
+                               JOBS_END_TIMEOUT_S, "jobs end")
         except AssertionError:
-            left = self.unfinished()
+            unfinished = self.unfinished_jobs()
             raise AssertionError("%d jobs did not end: %s" %
-                                 (len(left), left[:3])) from None
+                                 (len(unfinished), unfinished[:3])) from None
 
     def check(self):
-        history = self.running.history()
+        history = self.cluster.history()
         load = self.load
         # A task that failed by a fault of its VM has run to its end too.
-        return (checker.check_vm_capacity(history, self.running.vms,
+        return (checker.check_vm_capacity(history, self.cluster.vms,
                                           self.isolated_vms) +
                 checker.check_no_concurrent_task_runs(history) +
                 checker.check_response_bodies(load.calls) +
@@ -114,17 +114,18 @@
                 checker.check_done_outcomes(history, load.calls) +
                 checker.check_leaving_vms(history) +
                 checker.check_customer_limits(
-                    history, {c: LIMITS for c in load.customers}) +
+                    history, {c: CONTRACT_LIMITS for c in load.customers}) +
                 checker.check_tasks_at_most_once(history, load.jobs) +
                 checker.check_jobs_completed(history, load.jobs) +
                 checker.check_no_rerun_after_end(history, self.isolated_vms) +
                 checker.check_contract_versions(
-                    load.observations, load.accepted, IN_FORCE_NS))
+                    load.version_observations, load.accepted_changes,
+                    MAX_IN_FORCE_DELAY_NS))
 
     def summary(self):
         outcomes = {}
         for call in self.load.calls:
             outcomes[call["outcome"]] = outcomes.get(call["outcome"], 0) + 1
         return "%s; %d jobs; %d changes accepted, %d in conflict" % (
-            outcomes, len(self.load.jobs), len(self.load.accepted),
-            self.load.conflicts)
+            outcomes, len(self.load.jobs), len(self.load.accepted_changes),
+            self.load.version_conflicts)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -24,13 +24,14 @@
 class Shell:
     """Runs the command line against the cluster and prints what it does."""
 
-    def __init__(self, build, running):
+    def __init__(self, build, test_cluster):
         self.binary = os.path.join(build, "programs", "cuminroad")
         servers = ["127.0.0.1:%d" % d.http_port
-                   for d in running.daemons.values()]
-        self.environment = dict(os.environ, CUMINROAD_TOKEN=cluster.TOKEN,
+                   for d in test_cluster.daemons.values()]
+        self.environment = dict(os.environ,
+                                CUMINROAD_TOKEN=cluster.OPERATOR_TOKEN,
                                 CUMINROAD_SERVER=",".join(servers))
-        self.directory = running.directory
+        self.directory = test_cluster.directory
 
     def file(self, name, content):
         path = os.path.join(self.directory, name)
@@ -86,7 +87,8 @@
 
 
 def submit(shell, name, **spec):
-    job = dict(dict(customer="refuge", milli_cores=1000, memory_mb=1000), **spec)
+    job = dict(dict(customer="refuge", milli_cores=1000, memory_mb=1000),
+               **spec)
     out = shell.run("job", "submit", "--file", shell.file(name + ".json", job))
     return json.loads(out)["id"] if out.startswith("{") else ""
 
@@ -132,9 +134,9 @@
     shell.run("timeline")
 
 
-def check_history(running):
+def check_history(test_cluster):
     """What was to run once ran once, as the backend servers saw it."""
-    marks = [line["mark"] for line in running.history()
+    marks = [line["mark"] for line in test_cluster.history()
              if line["ev"] == "request_start"]
     for mark in ("shaping plan", "billed once", "planned once"):
         if marks.count(mark) != 1:
@@ -145,9 +147,9 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--build", default="build")
     build = os.path.abspath(parser.parse_args().build)
-    with cluster.Cluster(build) as running:
-        play(Shell(build, running))
-        check_history(running)
+    with cluster.Cluster(build) as test_cluster:
+        play(Shell(build, test_cluster))
+        check_history(test_cluster)
     for failure in FAILURES:
         print("FAILED:", failure)
     print("make run:", "failed" if FAILURES else "all of it came out right")
