--- a/tests/failure/fleet_soak.py
+++ b/tests/failure/fleet_soak.py
@@ -19,11 +19,12 @@
 
 def run_seed(seed, seconds):
     rng = random.Random(seed)
-    chosen = fleet_faults.draw(rng, rng.randint(2, 6), seconds)
-    names = ", ".join("%s at %.1f for %.1f" % (fault.__name__, at, length)
-                      for at, fault, length in chosen)
+    chosen = fleet_faults.draw_faults(rng, rng.randint(2, 6), seconds)
+    fault_names = ", ".join(
+        "%s at %.1f for %.1f" % (fault.__name__, start_s, duration_s)
+        for start_s, fault, duration_s in chosen)
     trial = fleet_trial.Trial(seed, daemons=rng.randint(1, 3))
-    return soak_seeds.run_trial(seed, names,
+    return soak_seeds.run_trial(seed, fault_names,
                                 lambda: trial.run(chosen, seconds),
                                 trial.summary)
 
--- a/tests/failure/fleet_test.py
+++ b/tests/failure/fleet_test.py
@@ -28,7 +28,7 @@
 
 
 class FleetTest(FleetTrials):
-    def test_calm(self):
+    def test_without_faults(self):
         self.run_faults(1)
 
     def test_owners_and_store(self):
@@ -45,8 +45,8 @@
     def test_vm_restarts_under_its_id(self):
         # A start sent before the restart was known ran in the new life, and the
         # task was placed once more.
-        self.run_faults(12, *((at, fleet_faults.crash_vm, 0.1)
-                              for at in (1, 2, 3, 4, 5, 6, 7)))
+        self.run_faults(12, *((start_s, fleet_faults.crash_vm, 0.1)
+                              for start_s in (1, 2, 3, 4, 5, 6, 7)))
 
 
 if __name__ == "__main__":
--- a/tests/support/fleet_faults.py
+++ b/tests/support/fleet_faults.py
@@ -5,34 +5,34 @@
 import time
 
 
-def any_daemon(trial):
+def random_daemon(trial):
     """Owners are not picked out: with two to six daemons each is hit often."""
     return random.choice(trial.daemons)
 
 
 def kill_daemon(trial, seconds):
-    daemon = any_daemon(trial)
-    trial.kill(daemon)
+    daemon = random_daemon(trial)
+    trial.terminate(daemon)
     time.sleep(seconds)
     trial.start(daemon)
 
 
 def stop_daemon(trial, seconds):
-    daemon = any_daemon(trial)
-    trial.kill(daemon, signal.SIGTERM)
+    daemon = random_daemon(trial)
+    trial.terminate(daemon, signal.SIGTERM)
     time.sleep(seconds / 4)
     trial.start(daemon)
 
 
 def roll_daemons(trial, seconds):
     for daemon in trial.daemons:
-        trial.kill(daemon, signal.SIGTERM)
+        trial.terminate(daemon, signal.SIGTERM)
         trial.start(daemon)
         time.sleep(seconds / len(trial.daemons))
 
 
 def freeze_daemon(trial, seconds):
-    daemon = any_daemon(trial)
+    daemon = random_daemon(trial)
     trial.signal(daemon, signal.SIGSTOP)
     time.sleep(seconds)
     trial.signal(daemon, signal.SIGCONT)
@@ -40,7 +40,7 @@
 
 def power_off_all(trial, seconds):
     for daemon in trial.daemons:
-        trial.kill(daemon)
+        trial.terminate(daemon)
     time.sleep(seconds / 4)
     for daemon in trial.daemons:
         trial.start(daemon)
@@ -62,17 +62,17 @@
 
 
 def cut_daemon_from_store(trial, seconds):
-    cut_links(trial, [(any_daemon(trial).name, "store")], seconds)
+    cut_links(trial, [(random_daemon(trial).name, "store")], seconds)
 
 
 def cut_daemon_one_way(trial, seconds):
-    cut_links(trial, [(any_daemon(trial).name, None)], seconds,
+    cut_links(trial, [(random_daemon(trial).name, None)], seconds,
               random.choice((("forth",), ("back",))))
 
 
 def cut_daemon_from_vms(trial, seconds):
-    name = any_daemon(trial).name
-    cut_links(trial, [(name, vm.name) for vm in trial.vms], seconds)
+    daemon_name = random_daemon(trial).name
+    cut_links(trial, [(daemon_name, vm.name) for vm in trial.vms], seconds)
 
 
 def cut_vm(trial, seconds):
@@ -81,22 +81,23 @@
 
 def cut_zone(trial, seconds):
     zone = random.choice(trial.zones)
-    inside = {each.name for each in trial.daemons + trial.vms
-              if each.zone == zone}
+    zone_members = {member.name for member in trial.daemons + trial.vms
+                    if member.zone == zone}
     pairs = [(daemon.name, target.name)
              for daemon in trial.daemons
              for target in trial.daemons + trial.vms
-             if (daemon.name in inside) != (target.name in inside)]
-    pairs += [(daemon.name, platform) for daemon in trial.daemons
-              if daemon.name in inside for platform in ("store", "advisor")]
+             if (daemon.name in zone_members) != (target.name in zone_members)]
+    pairs += [(daemon.name, service) for daemon in trial.daemons
+              if daemon.name in zone_members
+              for service in ("store", "advisor")]
     cut_links(trial, pairs, seconds)
 
 
 def delay_links(trial, seconds):
-    name = any_daemon(trial).name
-    trial.network.delay(name, None, 0.2)
+    daemon_name = random_daemon(trial).name
+    trial.network.delay(daemon_name, None, 0.2)
     time.sleep(seconds)
-    trial.network.delay(name, None, 0)
+    trial.network.delay(daemon_name, None, 0)
 
 
 def reset_links(trial, seconds):
@@ -121,15 +122,15 @@
 
 
 def store_slow(trial, seconds):
-    trial.store.slow_s = 0.15
+    trial.store.response_delay_s = 0.15
     time.sleep(seconds)
-    trial.store.slow_s = 0
+    trial.store.response_delay_s = 0
 
 
 def store_loses_answers(trial, seconds):
-    trial.store.lose_share = 0.3
+    trial.store.lost_response_share = 0.3
     time.sleep(seconds)
-    trial.store.lose_share = 0
+    trial.store.lost_response_share = 0
 
 
 def store_forgets(trial, seconds):
@@ -143,25 +144,25 @@
     time.sleep(seconds)
 
 
-def set_on_some(trial, seconds, field, value, normal):
-    some = random.sample(trial.vms, 2)
-    for vm in some:
+def set_on_two_vms(trial, seconds, field, value, normal):
+    chosen = random.sample(trial.vms, 2)
+    for vm in chosen:
         setattr(vm, field, value)
     time.sleep(seconds)
-    for vm in some:
+    for vm in chosen:
         setattr(vm, field, normal)
 
 
 def vms_unhealthy(trial, seconds):
-    set_on_some(trial, seconds, "unhealthy", True, False)
+    set_on_two_vms(trial, seconds, "unhealthy", True, False)
 
 
 def tasks_stand_still(trial, seconds):
-    set_on_some(trial, seconds, "hangs", True, False)
+    set_on_two_vms(trial, seconds, "hangs", True, False)
 
 
 def orders_late(trial, seconds):
-    set_on_some(trial, seconds, "late_share", 0.5, 0)
+    set_on_two_vms(trial, seconds, "late_share", 0.5, 0)
 
 
 def change_config(trial, seconds):
@@ -177,7 +178,7 @@
        vms_unhealthy, tasks_stand_still, orders_late, change_config]
 
 
-def draw(rng, count, seconds):
+def draw_faults(rng, count, seconds):
     """Faults that come in series and overlap."""
     return [(rng.uniform(1, seconds), rng.choice(ALL), rng.uniform(0.5, 5))
             for _ in range(count)]
--- a/tests/support/fleet_load.py
+++ b/tests/support/fleet_load.py
@@ -5,11 +5,11 @@
 import threading
 import time
 
-VISIBLE_S = 3
-PAUSE_S = 0.25
+MAX_VISIBILITY_DELAY_S = 3
+POLL_INTERVAL_S = 0.25
 
 
-class Load:
+class JobLoad:
     def __init__(self, trial, rng):
         self.trial, self.rng = trial, rng
         self.calls = []
@@ -18,12 +18,12 @@
 
     def make_job(self):
         steps = []
-        for number in range(self.rng.randint(1, 3)):
+        for step_number in range(self.rng.randint(1, 3)):
             step = {"count": self.rng.randint(1, 6),
                     "cpu": self.rng.choice((500, 1000, 2000, 4000)),
                     "mem_mb": 200, "estimate_ms": self.rng.randint(50, 900)}
-            if number:
-                step["after"] = [number - 1]
+            if step_number:
+                step["after"] = [step_number - 1]
             if self.rng.random() < 0.15:
                 step.update(gang=True, count=2)
             elif self.rng.random() < 0.2:
@@ -34,28 +34,28 @@
         spec = json.dumps({"fails": self.rng.choice((0, 0, 0.1))})
         return {"spec": spec, "steps": steps}
 
-    def run(self, seconds, per_second):
+    def run(self, seconds, jobs_per_s):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             job = "%016x" % self.rng.getrandbits(64)
             body = self.make_job()
-            self.trial.world.jobs[job] = body
+            self.trial.simulation.jobs[job] = body
             queue = self.rng.choice(list(self.trial.queues))
             call = {"job": job, "queue": queue, "state": None, "problems": [],
                     "open": {}, "accepted": None, "refused": False,
                     "cancelled": False,
                     "attempts": self.trial.queues[queue]["attempts"]}
             self.calls.append(call)
-            cancels = self.rng.random() < 0.05
-            thread = threading.Thread(target=self.follow, daemon=True,
-                                      args=(call, body, cancels))
+            will_cancel = self.rng.random() < 0.05
+            thread = threading.Thread(target=self.run_client, daemon=True,
+                                      args=(call, body, will_cancel))
             thread.start()
             self.threads.append(thread)
-            time.sleep(self.rng.expovariate(per_second))
+            time.sleep(self.rng.expovariate(jobs_per_s))
 
-    def ask(self, method, call, body=None):
+    def send_request(self, method, call, body=None):
         """Returns (status, body), or (None, None) where nothing is known."""
-        port = self.trial.rng_daemon().front
+        port = self.trial.random_daemon().frontend_port
         path = self.trial.queues[call["queue"]]["path_prefix"] + call["job"]
         headers = {"Host": "h", "Deadline-Ms": "3000",
                    "Content-Type": "application/json"}
@@ -66,57 +66,57 @@
         try:
             connection.request(method, path, body and json.dumps(body),
                                headers)
-            answer = connection.getresponse()
-            text = answer.read()
+            response = connection.getresponse()
+            text = response.read()
             call["open"][port] = connection
-            return answer.status, json.loads(text) if text else {}
+            return response.status, json.loads(text) if text else {}
         except (OSError, http.client.HTTPException, ValueError):
             connection.close()
             return None, None
 
-    def follow(self, call, body, cancels):
+    def run_client(self, call, body, will_cancel):
         try:
-            self.follow_to_end(call, body, cancels)
+            self.submit_and_poll(call, body, will_cancel)
         finally:
             for connection in call["open"].values():
                 connection.close()
 
-    def follow_to_end(self, call, body, cancels):
+    def submit_and_poll(self, call, body, will_cancel):
         self.submit(call, body)
         if call["refused"]:
             return
         while not self.stopped and call["state"] is None:
-            time.sleep(PAUSE_S)
-            if cancels and not call["cancelled"]:
+            time.sleep(POLL_INTERVAL_S)
+            if will_cancel and not call["cancelled"]:
                 # It may have been carried out whatever the answer is.
                 call["cancelled"] = True
-                self.ask("DELETE", call)
-            asked = time.monotonic()
-            status, answer = self.ask("GET", call)
-            if status == 200 and answer["state"] in ("completed", "failed",
-                                                     "cancelled"):
-                call["state"] = answer["state"]
-            known_for = asked - (call["accepted"] or asked)
-            if status == 410 and known_for > VISIBLE_S:
+                self.send_request("DELETE", call)
+            sent_at = time.monotonic()
+            status, response = self.send_request("GET", call)
+            if status == 200 and response["state"] in ("completed", "failed",
+                                                       "cancelled"):
+                call["state"] = response["state"]
+            accepted_for_s = sent_at - (call["accepted"] or sent_at)
+            if status == 410 and accepted_for_s > MAX_VISIBILITY_DELAY_S:
                 call["problems"].append("410 %.1f s after it was accepted" %
-                                        known_for)
+                                        accepted_for_s)
                 return
             if status == 410 and call["accepted"] is None:
                 return
 
     def submit(self, call, body):
-        unknown = False
+        outcome_unknown = False
         for _ in range(20):
-            status, _ = self.ask("POST", call, body)
+            status, _ = self.send_request("POST", call, body)
             if status == 200:
                 call["accepted"] = time.monotonic()
                 return
             if status in (429, 503):
                 # True of this try; one before may have been carried out.
-                call["refused"] = not unknown
+                call["refused"] = not outcome_unknown
                 return
             if status not in (None, 502, 504):
                 call["problems"].append("POST was answered %s" % status)
                 return
-            unknown = True
-            time.sleep(PAUSE_S)
+            outcome_unknown = True
+            time.sleep(POLL_INTERVAL_S)
--- a/tests/support/fleet_trial.py
+++ b/tests/support/fleet_trial.py
@@ -18,15 +18,16 @@
 import operator_vms
 import relay
 
-SETTLE_S = 60
-CAPACITY = {"cpu": 8000, "mem_mb": 8000, "gpu": 0}
-VM_PERIOD_S = 1
+JOBS_END_TIMEOUT_S = 60
+VM_CAPACITY = {"cpu": 8000, "mem_mb": 8000, "gpu": 0}
+VM_PUBLISH_INTERVAL_S = 1
 
 
 class Daemon:
     def __init__(self, name, zone, ports):
         self.name, self.zone = name, zone
-        self.front, self.ready, self.peer, self.metrics = ports
+        (self.frontend_port, self.ready_port, self.peer_port,
+         self.metrics_port) = ports
         self.process = None
         self.lock = threading.Lock()
 
@@ -45,12 +46,13 @@
         self.ports = cluster.PortBlock()
         self.network = relay.Network()
         self.store = operator_store.Store()
-        self.world = operator_vms.World("svc", seed)
-        common = {"host": "h", "service": "svc", "attempts": 3, "stretch": 2.0,
-                  "target_latency_ms": 500, "timeout_ms": 3000}
+        self.simulation = operator_vms.VmSimulation("svc", seed)
+        queue_settings = {"host": "h", "service": "svc", "attempts": 3,
+                          "stretch": 2.0, "target_latency_ms": 500,
+                          "timeout_ms": 3000}
         self.queues = {
-            "urgent": {**common, "priority": 0, "path_prefix": "/u/"},
-            "advised": {**common, "priority": 1, "path_prefix": "/a/",
+            "urgent": {**queue_settings, "priority": 0, "path_prefix": "/u/"},
+            "advised": {**queue_settings, "priority": 1, "path_prefix": "/a/",
                         "advice": {"decision_ms": 20, "each_ms": 0.1,
                                    "valid_for_ms": 1500}}}
         self.version = 0
@@ -62,51 +64,51 @@
                 self.daemons.append(Daemon(
                     "%s-%d" % (zone, number), zone,
                     [self.ports.allocate() for _ in range(4)]))
-        self.connect()
-        self.load = fleet_load.Load(self, random.Random(seed + 1))
-        self.dark_until = {}
+        self.connect_daemons()
+        self.load = fleet_load.JobLoad(self, random.Random(seed + 1))
 
     def add_vm(self, name, zone):
-        vm = operator_vms.Vm(self.world, name, zone, CAPACITY, zone)
+        vm = operator_vms.Vm(self.simulation, name, zone, VM_CAPACITY, zone)
         vm.port = self.ports.allocate()
-        self.world.vms[name] = vm
+        self.simulation.vms[name] = vm
         self.vms.append(vm)
         operator_servers.serve_vm(vm)
 
-    def connect(self):
-        advisor = self.ports.allocate()
-        operator_servers.serve_advisor(advisor, self.world)
+    def connect_daemons(self):
+        advisor_port = self.ports.allocate()
+        operator_servers.serve_advisor(advisor_port, self.simulation)
         for daemon in self.daemons:
-            store = self.ports.allocate()
-            operator_servers.serve_store(store, self.store, daemon.name)
+            store_port = self.ports.allocate()
+            operator_servers.serve_store(store_port, self.store, daemon.name)
             link = lambda name, port: self.network.add_link(
                 daemon.name, name, port)
-            view = {vm.port: link(vm.name, vm.port) for vm in self.vms}
-            view.update((other.peer, link(other.name, other.peer))
-                        for other in self.daemons if other is not daemon)
-            self.store.views[daemon.name] = view
-            self.write_settings(daemon, link("store", store),
-                                link("advisor", advisor))
-
-    def write_settings(self, daemon, store, advisor):
-        address = "127.0.0.1:%d"
+            port_map = {vm.port: link(vm.name, vm.port) for vm in self.vms}
+            port_map.update(
+                (other.peer_port, link(other.name, other.peer_port))
+                for other in self.daemons if other is not daemon)
+            self.store.port_maps[daemon.name] = port_map
+            self.write_settings(daemon, link("store", store_port),
+                                link("advisor", advisor_port))
+
+    def write_settings(self, daemon, store_port, advisor_port):
+        loopback = "127.0.0.1:%d"
         settings = {
             "node": daemon.name, "zone": daemon.zone, "ip": "127.0.0.1",
-            "listen": {"front": address % daemon.front,
-                       "ready": address % daemon.ready},
-            "port_range": [daemon.peer, daemon.metrics],
-            "limits": {"cpu_share": 0.25}, "advice": address % advisor,
+            "listen": {"front": loopback % daemon.frontend_port,
+                       "ready": loopback % daemon.ready_port},
+            "port_range": [daemon.peer_port, daemon.metrics_port],
+            "limits": {"cpu_share": 0.25}, "advice": loopback % advisor_port,
             "bounds": {"max_hold_ms": operator_vms.MAX_LEASE_MS,
                        "remote_factor": 1.5, "status_s": 120, "grace_s": 6},
-            "platform": {"address": address % store}}
-        with open(self.path(daemon, "json"), "w") as out:
-            json.dump(settings, out)
+            "platform": {"address": loopback % store_port}}
+        with open(self.path(daemon, "json"), "w") as file:
+            json.dump(settings, file)
 
-    def path(self, daemon, kind):
-        return os.path.join(self.directory, "%s.%s" % (daemon.name, kind))
+    def path(self, daemon, extension):
+        return os.path.join(self.directory, "%s.%s" % (daemon.name, extension))
 
-    def rng_daemon(self):
-        alive = [each for each in self.daemons if each.alive()]
+    def random_daemon(self):
+        alive = [daemon for daemon in self.daemons if daemon.alive()]
         return random.choice(alive or self.daemons)
 
     def start(self, daemon):
@@ -121,21 +123,21 @@
                     env={**os.environ,
                          "CUMINROAD_CONFIG": self.path(daemon, "json")})
 
-    def kill(self, daemon, number=signal.SIGKILL):
+    def terminate(self, daemon, signal_number=signal.SIGKILL):
         with daemon.lock:
             if daemon.alive():
-                daemon.process.send_signal(number)
-                if number != signal.SIGKILL:
+                daemon.process.send_signal(signal_number)
+                if signal_number != signal.SIGKILL:
                     try:
                         daemon.process.wait(6)
                     except subprocess.TimeoutExpired:
                         daemon.process.kill()
                 daemon.process.wait()
 
-    def signal(self, daemon, number):
+    def signal(self, daemon, signal_number):
         with daemon.lock:
             if daemon.alive():
-                daemon.process.send_signal(number)
+                daemon.process.send_signal(signal_number)
 
     def write_config(self):
         self.version += self.rng.randint(1, 5)
@@ -145,45 +147,47 @@
             {"version": self.version, "routes": routes,
              "services": [{"name": "svc"}], "limits": {}}).encode())
 
-    def list_vms(self):
+    def publish_vms(self):
         """VMs keep their entries up to date."""
-        while not self.world.closed:
+        while not self.simulation.closed:
             for vm in self.vms:
                 self.store.put("servers", vm.name,
                                json.dumps(vm.entry()).encode())
-            time.sleep(VM_PERIOD_S)
+            time.sleep(VM_PUBLISH_INTERVAL_S)
 
-    def ready(self):
-        return all(cluster.call(daemon.ready, "GET", "/v1/ready")[0] == 200
-                   for daemon in self.daemons)
+    def daemons_ready(self):
+        return all(
+            cluster.call(daemon.ready_port, "GET", "/v1/ready")[0] == 200
+            for daemon in self.daemons)
 
-    def run(self, faults, seconds=10, per_second=6):
+    def run(self, faults, seconds=10, jobs_per_s=6):
         """faults: (at, function, seconds), which may overlap."""
         try:
             self.write_config()
-            threading.Thread(target=self.world.run, daemon=True).start()
-            threading.Thread(target=self.list_vms, daemon=True).start()
+            threading.Thread(target=self.simulation.run, daemon=True).start()
+            threading.Thread(target=self.publish_vms, daemon=True).start()
             for daemon in self.daemons:
                 self.start(daemon)
-            cluster.wait_until(self.ready, 20, "daemons are ready")
-            threads = [threading.Timer(at, fault, (self, length))
-                       for at, fault, length in faults]
-            for each in threads:
-                each.start()
-            self.load.run(seconds, per_second)
-            for each in threads:
-                each.join()
-            self.heal()
-            problems = self.settle()
+            cluster.wait_until(self.daemons_ready, 20, "daemons are ready")
+            timers = [threading.Timer(start_s, function, (self, duration_s))
+                      for start_s, function, duration_s in faults]
+            for timer in timers:
+                timer.start()
+            self.load.run(seconds, jobs_per_s)
+            for timer in timers:
+                timer.join()
+            self.clear_faults()
+            violations = self.finish_and_check()
         finally:
             self.close()
-        if problems:
+        if violations:
             raise AssertionError("%d problems, logs in %s:\n%s" % (
-                len(problems), self.directory, "\n".join(problems[:10])))
+                len(violations), self.directory, "\n".join(violations[:10])))
         shutil.rmtree(self.directory)
 
-    def heal(self):
-        self.store.busy, self.store.slow_s, self.store.lose_share = False, 0, 0
+    def clear_faults(self):
+        (self.store.busy, self.store.response_delay_s,
+         self.store.lost_response_share) = False, 0, 0
         self.network.heal()
         for vm in self.vms:
             vm.unhealthy, vm.hangs, vm.late_share = False, False, 0
@@ -191,13 +195,14 @@
             self.signal(daemon, signal.SIGCONT)
             self.start(daemon)
 
-    def settle(self):
-        end = time.monotonic() + SETTLE_S
+    def finish_and_check(self):
+        deadline = time.monotonic() + JOBS_END_TIMEOUT_S
         for thread in self.load.threads:
-            thread.join(max(end - time.monotonic(), 0))
+            thread.join(max(deadline - time.monotonic(), 0))
         self.load.stopped = True
-        with self.world.lock:
-            history, jobs = list(self.world.history), dict(self.world.jobs)
+        with self.simulation.lock:
+            history, jobs = (list(self.simulation.history),
+                             dict(self.simulation.jobs))
         return (fleet_checker.check_exclusive_runs(history) +
                 fleet_checker.check_vm_capacity(history, self.vms) +
                 fleet_checker.check_step_order(history, jobs) +
@@ -206,10 +211,10 @@
                     history, self.load.calls, jobs))
 
     def close(self):
-        self.world.closed = True
+        self.simulation.closed = True
         for daemon in self.daemons:
             self.signal(daemon, signal.SIGCONT)
-            self.kill(daemon)
+            self.terminate(daemon)
         self.ports.close()
 
     def summary(self):
@@ -218,4 +223,4 @@
             state = "refused" if call["refused"] else call["state"]
             states[state] = states.get(state, 0) + 1
         return "%s; %d runs" % (states, sum(
-            event["what"] == "start" for event in self.world.history))
+            event["what"] == "start" for event in self.simulation.history))
--- a/tests/support/operator_servers.py
+++ b/tests/support/operator_servers.py
@@ -7,11 +7,11 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from urllib.parse import parse_qsl, urlsplit
 
-ADVICE_S = 0.02
-TICKET_S = 1.5
+ADVICE_DELAY_S = 0.02
+TICKET_LIFETIME_S = 1.5
 
 
-def serve(port, answer):
+def start_server(port, handle):
     """answer(method, path, query, headers, body) returns (status, body), or
     None to close the connection without an answer."""
 
@@ -20,11 +20,11 @@
         disable_nagle_algorithm = True
         wbufsize = -1
 
-        def handle_one(self):
+        def handle_request(self):
             parts = urlsplit(self.path)
             size = int(self.headers.get("Content-Length", 0))
             text = self.rfile.read(size)
-            result = answer(self.command, parts.path,
+            result = handle(self.command, parts.path,
                             dict(parse_qsl(parts.query)), self.headers,
                             json.loads(text) if text else {})
             if result is None:
@@ -38,7 +38,7 @@
             self.end_headers()
             self.wfile.write(data)
 
-        do_GET = do_POST = handle_one
+        do_GET = do_POST = handle_request
 
         def log_message(self, *_):
             pass
@@ -56,69 +56,73 @@
     return server
 
 
-def serve_store(port, store, reader):
-    def answer(_, path, query, headers, body):
+def serve_store(port, store, daemon_name):
+    def handle(_, path, query, headers, body):
         del headers
         if store.busy:
             return 503, {}
-        if store.slow_s:
-            time.sleep(store.slow_s)
-        result = store.answer(reader, path, query, body)
-        if path == "/v1/rows-tx" and random.random() < store.lose_share:
+        if store.response_delay_s:
+            time.sleep(store.response_delay_s)
+        result = store.handle(daemon_name, path, query, body)
+        if (path == "/v1/rows-tx" and
+                random.random() < store.lost_response_share):
             return None
         return result
-    return serve(port, answer)
+    return start_server(port, handle)
 
 
 def serve_vm(vm):
-    world = vm.world
+    simulation = vm.simulation
 
-    def carry_out(path, body):
-        with world.lock:
-            return vm.order(path, body)
+    def execute(path, body):
+        with simulation.lock:
+            return vm.handle(path, body)
 
-    def answer(_, path, query, headers, body):
+    def handle(_, path, query, headers, body):
         del query
         if vm.unhealthy:
             return 503, {}
         if headers.get("Expected-Instance") != vm.name:
             return 421, {}
-        if path != "/v1/hold" and world.random.random() < vm.late_share:
+        if path != "/v1/hold" and simulation.rng.random() < vm.late_share:
             # Carried out after newer orders, and never answered.
-            threading.Timer(world.random.uniform(0.5, 4), carry_out,
+            threading.Timer(simulation.rng.uniform(0.5, 4), execute,
                             (path, body)).start()
             time.sleep(5)
             return None
-        wait = body.get("wait_ms", 0) / 1000
-        with world.lock:
-            born, first = vm.born, vm.next_end
-            result = vm.order(path, body)
-            end = time.monotonic() + wait
-            while (result[0] == 200 and vm.born == born and
-                   vm.next_end == first and time.monotonic() < end):
-                world.ends.wait(end - time.monotonic())
+        wait_s = body.get("wait_ms", 0) / 1000
+        with simulation.lock:
+            incarnation, first_end_number = vm.incarnation, vm.next_end_number
+            result = vm.handle(path, body)
+            deadline = time.monotonic() + wait_s
+            while (result[0] == 200 and vm.incarnation == incarnation and
+                   vm.next_end_number == first_end_number and
+                   time.monotonic() < deadline):
+                simulation.run_ended.wait(deadline - time.monotonic())
             if path == "/v1/hold" and result[0] == 200:
-                result = 200, vm.lists()
-            return result if vm.born == born else None
-    return serve(vm.port, answer)
+                result = 200, vm.status()
+            return result if vm.incarnation == incarnation else None
+    return start_server(vm.port, handle)
 
 
-def serve_advisor(port, world):
+def serve_advisor(port, simulation):
     """Allows each step on many VMs, always the same, one of a zone at least."""
-    turns = {}
+    step_locks = {}
 
-    def allowed(step, vm):
+    def is_allowed(step, vm):
         return (random.Random(step + vm).random() < 0.5 or
                 int(vm.rsplit("-", 1)[1]) == random.Random(step).randrange(3))
 
-    def answer(_, path, query, headers, body):
+    def handle(_, path, query, headers, body):
         del path, query, headers
-        with turns.setdefault(body["step"], threading.Lock()):
-            time.sleep(ADVICE_S)
-        with world.lock:
-            good = [[name, "%s/%d/%.3f" % (body["step"], world.vms[name].born,
-                                           time.monotonic() + TICKET_S)]
-                    for name in body["workers"]
-                    if name in world.vms and allowed(body["step"], name)]
-        return 200, {"good": good}
-    return serve(port, answer)
+        with step_locks.setdefault(body["step"], threading.Lock()):
+            time.sleep(ADVICE_DELAY_S)
+        with simulation.lock:
+            allowed_vms = [
+                [name, "%s/%d/%.3f" % (body["step"],
+                                       simulation.vms[name].incarnation,
+                                       time.monotonic() + TICKET_LIFETIME_S)]
+                for name in body["workers"]
+                if name in simulation.vms and is_allowed(body["step"], name)]
+        return 200, {"good": allowed_vms}
+    return start_server(port, handle)
--- a/tests/support/operator_store.py
+++ b/tests/support/operator_store.py
@@ -5,8 +5,8 @@
 import threading
 import time
 
-HISTORY = 4000
-ADDRESS = re.compile(rb"127\.0\.0\.1:(\d{5})")
+MAX_HISTORY_ROWS = 4000
+LOOPBACK_ADDRESS = re.compile(rb"127\.0\.0\.1:(\d{5})")
 
 
 class Store:
@@ -17,13 +17,13 @@
         self.version = 0
         self.rows = {}
         self.history = []
-        self.oldest = 0
+        self.oldest_version = 0
         # Set by faults.
         self.busy = False
-        self.slow_s = 0
-        self.lose_share = 0
+        self.response_delay_s = 0
+        self.lost_response_share = 0
         # Addresses as a daemon reaches them: {reader: {port: port}}.
-        self.views = {}
+        self.port_maps = {}
 
     def put(self, table, key, value, part=""):
         """A write of the operator, or of a VM."""
@@ -37,7 +37,7 @@
     def forget_history(self):
         with self.changed:
             self.history = []
-            self.oldest = self.version
+            self.oldest_version = self.version
 
     def _apply(self, changes):
         self.version += 1
@@ -47,73 +47,79 @@
             else:
                 self.rows[table, part, key] = (self.version, value)
             self.history.append((self.version, table, part, key, value))
-        while len(self.history) > HISTORY:
-            self.oldest = self.history.pop(0)[0]
+        while len(self.history) > MAX_HISTORY_ROWS:
+            self.oldest_version = self.history.pop(0)[0]
         self.changed.notify_all()
         return self.version
 
-    def _row(self, reader, table, part, key, version, value):
-        out = {"table": table, "part": part, "key": key, "ver": version}
+    def _encode_row(self, daemon_name, table, part, key, version, value):
+        row = {"table": table, "part": part, "key": key, "ver": version}
         if value is None:
-            out["removed"] = True
+            row["removed"] = True
         else:
-            view = self.views.get(reader, {})
-            seen = ADDRESS.sub(
-                lambda m: b"127.0.0.1:%d" % view.get(int(m[1]), int(m[1])),
+            port_map = self.port_maps.get(daemon_name, {})
+            translated = LOOPBACK_ADDRESS.sub(
+                lambda m: b"127.0.0.1:%d" % port_map.get(int(m[1]), int(m[1])),
                 value)
-            out["value"] = base64.b64encode(seen).decode()
-        return out
+            row["value"] = base64.b64encode(translated).decode()
+        return row
 
-    def answer(self, reader, path, query, body):
+    def handle(self, daemon_name, path, query, body):
         """Returns (status, body)."""
-        now = {"now_ms": int(time.monotonic() * 1000)}
+        clock = {"now_ms": int(time.monotonic() * 1000)}
         if path == "/v1/rows-tx":
-            status, out = self._transact(reader, body)
+            status, result = self._transact(daemon_name, body)
         elif path == "/v1/rows-get":
-            status, out = self._range(reader, query)
+            status, result = self._list_rows(daemon_name, query)
         elif path == "/v1/rows-feed":
-            status, out = self._feed(reader, query)
+            status, result = self._read_feed(daemon_name, query)
         else:
-            return 404, now
-        return status, {**out, **now}
+            return 404, clock
+        return status, {**result, **clock}
 
-    def _transact(self, reader, body):
-        name = lambda entry: (entry["table"], entry["part"], entry["key"])
+    def _transact(self, daemon_name, body):
+        row_key = lambda entry: (entry["table"], entry["part"], entry["key"])
         with self.changed:
             checks = body.get("expected_rev", [])
-            if any(self.rows.get(name(c), (0,))[0] != c["ver"]
+            if any(self.rows.get(row_key(c), (0,))[0] != c["ver"]
                    for c in checks):
-                found = [self._row(reader, *name(c), *self.rows[name(c)])
-                         for c in checks if name(c) in self.rows]
-                return 412, {"rows": found, "ver": self.version}
-            changes = [(*name(w), base64.b64decode(w["value"]))
+                conflicting = [
+                    self._encode_row(daemon_name, *row_key(c),
+                                     *self.rows[row_key(c)])
+                    for c in checks if row_key(c) in self.rows]
+                return 412, {"rows": conflicting, "ver": self.version}
+            changes = [(*row_key(w), base64.b64decode(w["value"]))
                        for w in body.get("writes", [])]
-            changes += [(*name(r), None) for r in body.get("remove", [])]
+            changes += [(*row_key(r), None) for r in body.get("remove", [])]
             return 200, {"ver": self._apply(changes)}
 
-    def _range(self, reader, query):
+    def _list_rows(self, daemon_name, query):
         limit = min(int(query.get("limit", 500)), 500)
         with self.changed:
-            names = sorted(
-                name for name in self.rows
-                if name[:2] == (query["table"], query.get("part", "")) and
-                name[2] >= query.get("from", "") and
-                ("target" not in query or name[2] < query["target"]))
-            return 200, {"rows": [self._row(reader, *name, *self.rows[name])
-                                  for name in names[:limit]],
-                         "has_more": len(names) > limit, "ver": self.version}
+            row_keys = sorted(
+                row_key for row_key in self.rows
+                if row_key[:2] == (query["table"], query.get("part", "")) and
+                row_key[2] >= query.get("from", "") and
+                ("target" not in query or row_key[2] < query["target"]))
+            return 200, {
+                "rows": [self._encode_row(daemon_name, *row_key,
+                                          *self.rows[row_key])
+                         for row_key in row_keys[:limit]],
+                "has_more": len(row_keys) > limit, "ver": self.version}
 
-    def _feed(self, reader, query):
+    def _read_feed(self, daemon_name, query):
         after = int(query["after"])
-        end = time.monotonic() + min(int(query.get("wait_ms", 0)), 30000) / 1e3
+        deadline = (time.monotonic() +
+                    min(int(query.get("wait_ms", 0)), 30000) / 1e3)
         with self.changed:
             while True:
-                if after < self.oldest:
+                if after < self.oldest_version:
                     return 410, {}
-                new = [self._row(reader, table, part, key, version, value)
-                       for version, table, part, key, value in self.history
-                       if version > after and table == query["table"]]
-                left = end - time.monotonic()
-                if new or left <= 0:
-                    return 200, {"rows": new, "ver": self.version}
-                self.changed.wait(left)
+                rows = [self._encode_row(daemon_name, table, part, key,
+                                         version, value)
+                        for version, table, part, key, value in self.history
+                        if version > after and table == query["table"]]
+                remaining_s = deadline - time.monotonic()
+                if rows or remaining_s <= 0:
+                    return 200, {"rows": rows, "ver": self.version}
+                self.changed.wait(remaining_s)
