--- a/benchmark/front_door.py
+++ b/benchmark/front_door.py
@@ -19,11 +19,11 @@
 
 
 def measure(build, rate, seconds, urls):
-    done = subprocess.run(
+    result = subprocess.run(
         [os.path.join(build, "benchmark", "load_generator"), str(rate),
          str(seconds), "{}", *urls], capture_output=True, text=True,
         timeout=120)
-    return json.loads(done.stdout)
+    return json.loads(result.stdout)
 
 
 def main():
@@ -48,19 +48,21 @@
 
 
 def report(rate, pairs):
-    for name, place in (("direct", 0), ("through", 1)):
-        runs = [pair[place] for pair in pairs]
+    for name, index in (("direct", 0), ("through", 1)):
+        runs = [pair[index] for pair in pairs]
         print("%5d/s %-8s p50 %6.0f us, p99 %6.0f us, failed %d of %d "
               "(medians of %d runs)" %
               (rate, name, statistics.median(r["p50_us"] for r in runs),
                statistics.median(r["p99_us"] for r in runs),
                sum(r["failed"] for r in runs), sum(r["sent"] for r in runs),
                len(runs)))
-    added = [b["p99_us"] - a["p99_us"] for a, b in pairs]
-    ratio = [b["p50_us"] / a["p50_us"] for a, b in pairs]
+    added_us = [daemon_run["p99_us"] - direct_run["p99_us"]
+                for direct_run, daemon_run in pairs]
+    p50_ratios = [daemon_run["p50_us"] / direct_run["p50_us"]
+                  for direct_run, daemon_run in pairs]
     print("        added at p99 %.0f us (from %.0f to %.0f), ratio of p50 "
-          "%.2f" % (statistics.median(added), min(added), max(added),
-                    statistics.median(ratio)))
+          "%.2f" % (statistics.median(added_us), min(added_us), max(added_us),
+                    statistics.median(p50_ratios)))
 
 
 if __name__ == "__main__":
--- a/benchmark/slopes.py
+++ b/benchmark/slopes.py
@@ -21,8 +21,8 @@
 BUDGET = {"cpu_percent": 2.1, "rss_mb": 256, "kb_per_s": 6.0}
 TABLE_BUDGET = {"writes_per_s": 100, "reads_per_s": 500}
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-LONG_MS = 3600000
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+LONG_TASK_MS = 3600000
 
 
 def cpu_seconds(process):
@@ -33,7 +33,7 @@
 
 def rss_mb(process):
     with open("/proc/%d/statm" % process.popen.pid) as file:
-        return int(file.read().split()[1]) * PAGE / 1e6
+        return int(file.read().split()[1]) * PAGE_BYTES / 1e6
 
 
 def control_bytes(daemon):
@@ -59,7 +59,7 @@
                                        daemons=daemons, vms=vms,
                                        milli_cores=64000, memory_mb=128000)
         self.versions = {}
-        self.count = 0
+        self.job_count = 0
 
     def prepare(self):
         size = self.size
@@ -72,56 +72,56 @@
             list(pool.map(create, range(size["customers"])))
         for domain in self.cluster.domains:
             self.submit(self.cluster.daemons_in_domain(domain)[0],
-                        size["tasks"], LONG_MS)
+                        size["tasks"], LONG_TASK_MS)
         time.sleep(2)
 
     def submit(self, daemon, tasks, duration_ms):
         while tasks > 0:
-            part = min(tasks, 25)
-            self.count += 1
+            batch = min(tasks, 25)
+            self.job_count += 1
             status, _, text = daemon.call("POST", "/v1/jobs", dict(
-                customer="team-%d" % (self.count % self.size["customers"]),
-                kind="batch", tasks=part, milli_cores=100, memory_mb=100,
+                customer="team-%d" % (self.job_count % self.size["customers"]),
+                kind="batch", tasks=batch, milli_cores=100, memory_mb=100,
                 duration_ms=duration_ms))
             if status != 202:
                 raise AssertionError(text)
-            tasks -= part
+            tasks -= batch
 
-    def change(self, number):
+    def change_contract(self, number):
         daemon = next(iter(self.cluster.daemons.values()))
         customer = "team-%d" % (number % self.size["customers"])
-        status, answer = daemon.operator_call("GET",
-                                              "/v1/contracts/" + customer)
-        terms = dict(answer["terms"], task_start_within_ms=1000 + number)
+        status, response = daemon.operator_call("GET",
+                                                "/v1/contracts/" + customer)
+        terms = dict(response["terms"], task_start_within_ms=1000 + number)
         daemon.operator_call("PUT", "/v1/contracts/" + customer,
-                             {"expected_version": answer["version"],
+                             {"expected_version": response["version"],
                               "terms": terms})
 
-    def load(self, seconds):
+    def generate_load(self, seconds):
         """Keeps up the rates of starts, changes and requests."""
         size = self.size
         daemons = list(self.cluster.daemons.values())
         owners = [self.cluster.daemons_in_domain(d)[0]
                   for d in self.cluster.domains]
         end = time.monotonic() + seconds
-        begun = dict(starts=0, changes=0, requests=0)
-        start = time.monotonic()
+        started = dict(starts=0, changes=0, requests=0)
+        started_at = time.monotonic()
         with concurrent.futures.ThreadPoolExecutor(64) as pool:
             while time.monotonic() < end:
-                past = time.monotonic() - start
-                while begun["starts"] < past * size["starts_per_s"]:
-                    part = max(1, size["starts_per_s"] // 4)
+                elapsed_s = time.monotonic() - started_at
+                while started["starts"] < elapsed_s * size["starts_per_s"]:
+                    batch = max(1, size["starts_per_s"] // 4)
                     for owner in owners:
-                        pool.submit(self.submit, owner, part, 500)
-                    begun["starts"] += part
-                while begun["changes"] < past * size["changes_per_s"]:
-                    begun["changes"] += 1
-                    pool.submit(self.change, begun["changes"])
-                while begun["requests"] < past * size["requests_per_s"]:
-                    begun["requests"] += 1
+                        pool.submit(self.submit, owner, batch, 500)
+                    started["starts"] += batch
+                while started["changes"] < elapsed_s * size["changes_per_s"]:
+                    started["changes"] += 1
+                    pool.submit(self.change_contract, started["changes"])
+                while started["requests"] < elapsed_s * size["requests_per_s"]:
+                    started["requests"] += 1
                     pool.submit(cluster.request,
-                                daemons[begun["requests"] % len(daemons)],
-                                "team-%d" % (begun["requests"] %
+                                daemons[started["requests"] % len(daemons)],
+                                "team-%d" % (started["requests"] %
                                              size["customers"]),
                                 body="{}", idempotent=True)
                 time.sleep(0.01)
@@ -136,22 +136,23 @@
         cpu = {d.name: cpu_seconds(d) for d in daemons}
         sent = {d.name: control_bytes(d) for d in daemons}
         table = self.table_counts()
-        start = time.monotonic()
-        self.load(seconds)
-        past = time.monotonic() - start
-        out = {}
-        for role, wanted in (("owner", True), ("standby", False)):
-            rows = [(100 * (cpu_seconds(d) - cpu[d.name]) / past, rss_mb(d),
-                     (control_bytes(d) - sent[d.name]) / past / 1000)
-                    for d in daemons if is_owner[d.name] == wanted]
+        started_at = time.monotonic()
+        self.generate_load(seconds)
+        elapsed_s = time.monotonic() - started_at
+        results = {}
+        for role, is_owner_role in (("owner", True), ("standby", False)):
+            costs = [(100 * (cpu_seconds(d) - cpu[d.name]) / elapsed_s,
+                      rss_mb(d),
+                      (control_bytes(d) - sent[d.name]) / elapsed_s / 1000)
+                     for d in daemons if is_owner[d.name] == is_owner_role]
             # The costliest daemon of the role counts.
-            for place, name in enumerate(BUDGET):
-                out[role + " " + name] = max((r[place] for r in rows),
-                                             default=0)
+            for index, name in enumerate(BUDGET):
+                results[role + " " + name] = max((r[index] for r in costs),
+                                                 default=0)
         now = self.table_counts()
-        out["writes_per_s"] = (now["writes"] - table["writes"]) / past
-        out["reads_per_s"] = (now["reads"] - table["reads"]) / past
-        return out
+        results["writes_per_s"] = (now["writes"] - table["writes"]) / elapsed_s
+        results["reads_per_s"] = (now["reads"] - table["reads"]) / elapsed_s
+        return results
 
 
 def measure(build, seconds, **size):
@@ -165,9 +166,10 @@
     """Returns (slope, value at zero) of the least squares line."""
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    rise = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    return rise, mean_y - rise * mean_x
+    squared_deviations = sum((x - mean_x) ** 2 for x, _ in points)
+    gradient = (sum((x - mean_x) * (y - mean_y) for x, y in points) /
+                squared_deviations)
+    return gradient, mean_y - gradient * mean_x
 
 
 SERIES = {
@@ -182,7 +184,7 @@
 BASE = {"tasks": dict(vms=40), "starts_per_s": dict(vms=40)}
 # 520 VMs, 5,300 tasks, 210 customers over 7 domains. 480 changes a day are
 # 0.0056 a second; the starts are the peak of 150 a second over the domains.
-IN_TWO_YEARS = dict(domains=7, daemons=2, vms=75, customers=210, tasks=757)
+PROJECTED_SITE = dict(domains=7, daemons=2, vms=75, customers=210, tasks=757)
 
 
 def plot(path, name, results):
@@ -194,14 +196,15 @@
     top = max(r[f] for _, r in results for f in figures) or 1
     right = max(x for x, _ in results) or 1
     lines = []
-    for place, (figure, colour) in enumerate(zip(figures, colours)):
+    for index, (figure, colour) in enumerate(zip(figures, colours)):
         points = " ".join(
             "%.1f,%.1f" % (pad + x / right * (width - 2 * pad),
                            height - pad - r[figure] / top * (height - 2 * pad))
             for x, r in results)
         lines.append('<polyline fill="none" stroke="%s" points="%s"/>'
                      '<text x="%d" y="%d" fill="%s">%s</text>' %
-                     (colour, points, pad + 5, 14 + 13 * place, colour, figure))
+                     (colour, points, pad + 5, 14 + 13 * index, colour,
+                      figure))
     with open(path, "w") as file:
         file.write('<svg xmlns="http://www.w3.org/2000/svg" width="%d" '
                    'height="%d" font-size="11" font-family="sans-serif">%s'
@@ -222,7 +225,7 @@
         flush=True)
 
 
-def print_verdicts(title, row):
+def print_against_limits(title, row):
     print("\n%s\n\n| figure | measured | limit | verdict |" % title)
     print("| --- | --- | --- | --- |")
     limits = {role + " " + k: v for role in ("owner", "standby")
@@ -251,11 +254,11 @@
         print_series(name, results)
         plot(os.path.join(options.plots, name + ".svg"), name, results)
     if options.only in (None, "whole"):
-        whole = measure(options.build, 2 * options.seconds, **IN_TWO_YEARS)
-        print_verdicts("The whole site, no starts:", whole)
+        whole = measure(options.build, 2 * options.seconds, **PROJECTED_SITE)
+        print_against_limits("The whole site, no starts:", whole)
         peak = measure(options.build, 2 * options.seconds, starts_per_s=21,
-                       **IN_TWO_YEARS)
-        print_verdicts("The whole site, at 147 starts a second:", peak)
+                       **PROJECTED_SITE)
+        print_against_limits("The whole site, at 147 starts a second:", peak)
 
 
 if __name__ == "__main__":
--- a/benchmark/takeover.py
+++ b/benchmark/takeover.py
@@ -17,8 +17,8 @@
 import cluster  # noqa: E402
 
 
-def submit_until(daemon, stop):
-    while not stop.is_set():
+def submit_until(daemon, stop_event):
+    while not stop_event.is_set():
         try:
             daemon.call("POST", "/v1/jobs", dict(
                 customer="load", kind="batch", milli_cores=100, memory_mb=100,
@@ -35,24 +35,25 @@
         owner = test_cluster.owner("d1")
         standby = [d for d in test_cluster.daemons_in_domain("d1")
                    if d is not owner][0]
-        stop = threading.Event()
-        thread = threading.Thread(target=submit_until, args=(standby, stop))
+        stop_event = threading.Event()
+        thread = threading.Thread(target=submit_until,
+                                  args=(standby, stop_event))
         thread.start()
         time.sleep(2)
         owner.kill()
-        killed = time.monotonic_ns()
-        answered = None
-        while answered is None and time.monotonic_ns() - killed < 20e9:
+        killed_at = time.monotonic_ns()
+        answered_at = None
+        while answered_at is None and time.monotonic_ns() - killed_at < 20e9:
             outcome, _, _ = cluster.request(standby, "load", body="{}",
                                             idempotent=True)
             if outcome == "done":
-                answered = time.monotonic_ns()
+                answered_at = time.monotonic_ns()
         time.sleep(6)
-        stop.set()
+        stop_event.set()
         thread.join()
-        starts = [line["t"] for line in test_cluster.history()
-                  if line["ev"] == "task_start" and line["t"] > killed]
-        return (min(starts) - killed) / 1e9, (answered - killed) / 1e9
+        starts = [event["t"] for event in test_cluster.history()
+                  if event["ev"] == "task_start" and event["t"] > killed_at]
+        return (min(starts) - killed_at) / 1e9, (answered_at - killed_at) / 1e9
 
 
 def main():
@@ -61,8 +62,8 @@
     parser.add_argument("--rounds", type=int, default=5)
     options = parser.parse_args()
     runs = [measure(options.build) for _ in range(options.rounds)]
-    for name, place in (("next task", 0), ("next answer", 1)):
-        values = [run[place] for run in runs]
+    for name, index in (("next task", 0), ("next answer", 1)):
+        values = [run[index] for run in runs]
         print("%s after the owner's death: median %.2f s, from %.2f to %.2f "
               "(%d runs)" % (name, statistics.median(values), min(values),
                              max(values), len(values)))
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -21,7 +21,7 @@
 FAILURES = []
 
 
-class Shell:
+class CommandLine:
     """Runs the command line against the cluster and prints what it does."""
 
     def __init__(self, build, test_cluster):
@@ -33,111 +33,115 @@
                                 CUMINROAD_SERVER=",".join(servers))
         self.directory = test_cluster.directory
 
-    def file(self, name, content):
+    def write_json(self, name, content):
         path = os.path.join(self.directory, name)
         with open(path, "w") as file:
             json.dump(content, file)
         return path
 
-    def run(self, *words, expect=0, show=True):
-        shown = [os.path.basename(w) if w.startswith(self.directory) else w
-                 for w in words]
-        print("$ cuminroad " + " ".join(shown))
-        done = subprocess.run([self.binary, *words], env=self.environment,
-                              capture_output=True, text=True, timeout=60)
+    def run(self, *arguments, expect=0, show=True):
+        displayed = [os.path.basename(w) if w.startswith(self.directory) else w
+                     for w in arguments]
+        print("$ cuminroad " + " ".join(displayed))
+        result = subprocess.run([self.binary, *arguments],
+                                env=self.environment, capture_output=True,
+                                text=True, timeout=60)
         if show:
-            print((done.stdout + done.stderr).rstrip())
-        if done.returncode != expect:
+            print((result.stdout + result.stderr).rstrip())
+        if result.returncode != expect:
             FAILURES.append("%s: exit code %d, expected %d" %
-                            (" ".join(shown), done.returncode, expect))
-        return done.stdout
+                            (" ".join(displayed), result.returncode, expect))
+        return result.stdout
 
 
-def terms(**changes):
-    out = dict(milli_cores=24000, memory_mb=48000, accelerators=0, requests=12,
-               task_start_within_ms=10000, request_start_within_ms=1000)
-    out.update(changes)
-    return out
+def contract_terms(**overrides):
+    contract = dict(milli_cores=24000, memory_mb=48000, accelerators=0,
+                    requests=12, task_start_within_ms=10000,
+                    request_start_within_ms=1000)
+    contract.update(overrides)
+    return contract
 
 
-def wait_for_job(shell, name, job):
+def wait_for_job(cli, name, job):
     for _ in range(200):
-        done = subprocess.run([shell.binary, "job", "show", job],
-                              env=shell.environment, capture_output=True,
-                              text=True, timeout=60)
-        if '"finished"' in done.stdout:
-            print("%s: %s" % (name, done.stdout.strip()))
-            if '"outcome":"done"' not in done.stdout:
+        result = subprocess.run([cli.binary, "job", "show", job],
+                                env=cli.environment, capture_output=True,
+                                text=True, timeout=60)
+        if '"finished"' in result.stdout:
+            print("%s: %s" % (name, result.stdout.strip()))
+            if '"outcome":"done"' not in result.stdout:
                 FAILURES.append(name + " did not end well")
             return
         time.sleep(0.1)
-    FAILURES.append("%s did not finish: %s" % (name, done.stdout))
+    FAILURES.append("%s did not finish: %s" % (name, result.stdout))
 
 
-def wait_for_running(shell, name, job, tasks):
+def wait_for_running(cli, name, job, tasks):
     for _ in range(100):
-        done = subprocess.run([shell.binary, "job", "show", job],
-                              env=shell.environment, capture_output=True,
-                              text=True, timeout=60)
-        if json.loads(done.stdout).get("running") == tasks:
+        result = subprocess.run([cli.binary, "job", "show", job],
+                                env=cli.environment, capture_output=True,
+                                text=True, timeout=60)
+        if json.loads(result.stdout).get("running") == tasks:
             print("%s runs %d tasks" % (name, tasks))
             return
         time.sleep(0.1)
-    FAILURES.append("%s does not run: %s" % (name, done.stdout))
+    FAILURES.append("%s does not run: %s" % (name, result.stdout))
 
 
-def submit(shell, name, **spec):
+def submit_job(cli, name, **spec):
     job = dict(dict(customer="refuge", milli_cores=1000, memory_mb=1000),
                **spec)
-    out = shell.run("job", "submit", "--file", shell.file(name + ".json", job))
-    return json.loads(out)["id"] if out.startswith("{") else ""
+    output = cli.run("job", "submit", "--file",
+                     cli.write_json(name + ".json", job))
+    return json.loads(output)["id"] if output.startswith("{") else ""
 
 
-def play(shell):
+def run_demo(cli):
     print("--- an operator writes contracts")
-    shell.run("contract", "create", "refuge", "--file",
-              shell.file("refuge.json", terms(never_repeat=["billing"])),
-              "--operator", "ana")
-    shell.run("contract", "create", "counter", "--file",
-              shell.file("counter.json", terms(urgent=True)))
-    shell.run("contract", "change", "counter", "--expect-version", "7",
-              "--file", shell.file("late.json", terms()), expect=1)
-    shell.run("contract", "status")
+    cli.run("contract", "create", "refuge", "--file",
+            cli.write_json("refuge.json",
+                           contract_terms(never_repeat=["billing"])),
+            "--operator", "ana")
+    cli.run("contract", "create", "counter", "--file",
+            cli.write_json("counter.json", contract_terms(urgent=True)))
+    cli.run("contract", "change", "counter", "--expect-version", "7",
+            "--file", cli.write_json("late.json", contract_terms()), expect=1)
+    cli.run("contract", "status")
     print("--- callers send service requests")
-    shell.run("request", "counter", "fitting", "--idempotent", "--body",
-              '{"mark":"quick fit check","work_ms":20}')
-    shell.run("request", "refuge", "fitting", "--body",
-              '{"mark":"shaping plan","work_ms":20}')
-    ticket = json.loads(shell.run("ticket"))["ticket"]
+    cli.run("request", "counter", "fitting", "--idempotent", "--body",
+            '{"mark":"quick fit check","work_ms":20}')
+    cli.run("request", "refuge", "fitting", "--body",
+            '{"mark":"shaping plan","work_ms":20}')
+    ticket = json.loads(cli.run("ticket"))["ticket"]
     for _ in range(2):
-        shell.run("request", "refuge", "fitting", "--ticket", ticket, "--body",
-                  '{"mark":"billed once"}')
+        cli.run("request", "refuge", "fitting", "--ticket", ticket, "--body",
+                '{"mark":"billed once"}')
     for _ in range(2):
-        shell.run("request", "refuge", "fitting", "--key", "plan-17", "--body",
-                  '{"mark":"planned once"}')
-    shell.run("request", "stranger", "fitting", "--body", "{}", expect=1)
+        cli.run("request", "refuge", "fitting", "--key", "plan-17", "--body",
+                '{"mark":"planned once"}')
+    cli.run("request", "stranger", "fitting", "--body", "{}", expect=1)
     print("--- callers submit jobs")
-    service = submit(shell, "watch", kind="service", tasks=2)
-    batch = submit(shell, "render", kind="batch", tasks=6, duration_ms=500)
-    gang = submit(shell, "gang", kind="gang", tasks=3, duration_ms=500)
-    shell.run("job", "submit", "--file",
-              shell.file("huge.json", dict(customer="refuge", kind="batch",
-                                           milli_cores=500000,
-                                           memory_mb=1)), expect=1)
-    wait_for_running(shell, "watch", service, 2)
-    wait_for_job(shell, "render", batch)
-    wait_for_job(shell, "gang", gang)
-    shell.run("job", "cancel", service)
+    service = submit_job(cli, "watch", kind="service", tasks=2)
+    batch = submit_job(cli, "render", kind="batch", tasks=6, duration_ms=500)
+    gang = submit_job(cli, "gang", kind="gang", tasks=3, duration_ms=500)
+    cli.run("job", "submit", "--file",
+            cli.write_json("huge.json", dict(customer="refuge", kind="batch",
+                                             milli_cores=500000,
+                                             memory_mb=1)), expect=1)
+    wait_for_running(cli, "watch", service, 2)
+    wait_for_job(cli, "render", batch)
+    wait_for_job(cli, "gang", gang)
+    cli.run("job", "cancel", service)
     print("--- an operator looks")
-    shell.run("status")
+    cli.run("status")
     print("--- the time line over all daemons")
-    shell.run("timeline")
+    cli.run("timeline")
 
 
 def check_history(test_cluster):
     """What was to run once ran once, as the backend servers saw it."""
-    marks = [line["mark"] for line in test_cluster.history()
-             if line["ev"] == "request_start"]
+    marks = [event["mark"] for event in test_cluster.history()
+             if event["ev"] == "request_start"]
     for mark in ("shaping plan", "billed once", "planned once"):
         if marks.count(mark) != 1:
             FAILURES.append("%s ran %d times" % (mark, marks.count(mark)))
@@ -148,7 +152,7 @@
     parser.add_argument("--build", default="build")
     build = os.path.abspath(parser.parse_args().build)
     with cluster.Cluster(build) as test_cluster:
-        play(Shell(build, test_cluster))
+        run_demo(CommandLine(build, test_cluster))
         check_history(test_cluster)
     for failure in FAILURES:
         print("FAILED:", failure)
