--- a/tests/failure/checker_test.py
+++ b/tests/failure/checker_test.py
@@ -1,4 +1,4 @@
-"""The checker finds planted violations of each kind, and nothing else."""
+"""Each check of checker.py finds violations and accepts a valid history."""
 
 import unittest
 
@@ -30,7 +30,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """Each check with a good history and with planted violations."""
+    """Runs each check on a valid history and on ones with violations."""
 
     def test_vm_capacity(self):
         self.assertFalse(checker.check_vm_capacity(VALID_TASK_RUN, VMS))
--- a/tests/failure/config_test.py
+++ b/tests/failure/config_test.py
@@ -1,4 +1,4 @@
-"""A change is accepted only when no daemon that serves can miss it."""
+"""A contract change is accepted only once every serving daemon knows of it."""
 
 import os
 import unittest
@@ -10,7 +10,7 @@
 
 
 class ConfigTest(unittest.TestCase):
-    """One daemon is cut off from the platform, and goes on serving."""
+    """One daemon loses its connection to the platform but keeps serving."""
 
     def test_change_waits_for_a_daemon_that_is_cut_off(self):
         network = relay.Network()
@@ -28,7 +28,8 @@
             self.assertEqual(response["waits_for"], [isolated.name])
             self.assertEqual(cluster.request(isolated, "refuge", body="{}")[0],
                              "done")
-            # Who knows of it applies the stricter limit already.
+            # A daemon that knows of the pending change already applies the
+            # stricter limit.
             contract = connected.operator_call("GET",
                                                "/v1/contracts/refuge")[1]
             self.assertEqual(contract["in_force"]["requests"], 2)
--- a/tests/failure/fault_test.py
+++ b/tests/failure/fault_test.py
@@ -1,7 +1,7 @@
-"""The whole system under each fault on its own, and under some at once.
+"""Runs the system under each fault alone and under two pairs of faults.
 
-The faults are in tests/support/faults.py, the checks in checker.py. Longer
-and random trials: make soak SEEDS=n.
+The faults are in tests/support/faults.py, the checks in checker.py. For
+random faults and more trials: make soak SEEDS=n.
 """
 
 import os
@@ -10,12 +10,13 @@
 import faults
 import trial
 
-# The group of this run; the groups run side by side.
+# The faults of this run, separated by commas; all if empty. CTest runs each
+# fault as a test of its own.
 GROUP = os.environ.get("CUMINROAD_FAULTS", "")
 
 
 class FaultTest(unittest.TestCase):
-    """Each test is one trial under load."""
+    """Each test is one trial under load. add_test() adds the tests."""
 
 
 def add_test(name, *fault_functions):
@@ -23,7 +24,7 @@
         fault_trial = trial.Trial(seed=7)
         fault_trial.run(*fault_functions)
         print(name + ":", fault_trial.summary(), flush=True)
-        # A trial in which little was done would prove little.
+        # Too little load would leave the checks without evidence.
         done = sum(call["outcome"] == "done"
                    for call in fault_trial.load.calls)
         self.assertGreater(done, 50)
--- a/tests/failure/fleet_checker_test.py
+++ b/tests/failure/fleet_checker_test.py
@@ -1,4 +1,4 @@
-"""The checker of the fleet's promises finds each kind of fault."""
+"""Each check of fleet_checker.py finds violations."""
 
 import types
 import unittest
--- a/tests/failure/fleet_soak.py
+++ b/tests/failure/fleet_soak.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Runs the daemons on stand-ins for the operator platform, with faults chosen
-by seed, and checks the promises to callers. Prints each seed that fails.
+"""Runs fleet trials with faults drawn from a seed: daemons with stand-ins for
+the operator platform. Prints the result of each seed.
 
 Replay one with: fleet_soak.py --build build --first SEED --seeds 1
 """
--- a/tests/failure/fleet_test.py
+++ b/tests/failure/fleet_test.py
@@ -1,6 +1,6 @@
-"""The daemons on stand-ins for the operator platform: some seeds of the soak.
+"""Runs the daemons with stand-ins for the operator platform, under faults.
 
-Longer and random trials: make soak SEEDS=n.
+For random faults and more trials: make soak SEEDS=n.
 """
 
 import os
@@ -21,7 +21,7 @@
         trial = fleet_trial.Trial(seed)
         trial.run(faults, SECONDS)
         print(trial.summary(), flush=True)
-        # A trial in which little was done would prove little.
+        # Too little load would leave the checks without evidence.
         completed = sum(call["state"] == "completed"
                         for call in trial.load.calls)
         self.assertGreater(completed, 10)
@@ -37,14 +37,15 @@
                         (5, fleet_faults.power_off_all, 2))
 
     def test_gangs_that_fail(self):
-        # Each member's end counted as a failure of the gang.
+        # Guards against counting each member's end as a failure of the gang.
         self.assertTrue(fleet_soak.run_seed(8, SECONDS))
 
 
 class RestartTest(FleetTrials):
     def test_vm_restarts_under_its_id(self):
-        # A start sent before the restart was known ran in the new life, and the
-        # task was placed once more.
+        # Guards against a start command that was sent before the owner knew
+        # of the restart and ran in the VM's new incarnation, while the owner
+        # placed the task once more.
         self.run_faults(12, *((start_s, fleet_faults.crash_vm, 0.1)
                               for start_s in (1, 2, 3, 4, 5, 6, 7)))
 
--- a/tests/failure/path_test.py
+++ b/tests/failure/path_test.py
@@ -1,4 +1,4 @@
-"""The whole path without failures, and bad input at the front door."""
+"""The system without faults, and invalid input to its HTTP interface."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 class PathTest(unittest.TestCase):
-    """One cluster serves all checks of this file."""
+    """All tests share one cluster."""
 
     @classmethod
     def setUpClass(cls):
--- a/tests/failure/share_test.py
+++ b/tests/failure/share_test.py
@@ -1,4 +1,4 @@
-"""Customers' limits move to the failure domain that needs them."""
+"""A customer's limits move between failure domains on demand."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 class ShareTest(unittest.TestCase):
-    """Two domains; the contract gives each half at first."""
+    """Two domains, each of which starts with half of the contract's limits."""
 
     def test_job_larger_than_an_even_part_runs(self):
         with cluster.Cluster(BUILD) as test_cluster:
@@ -25,7 +25,7 @@
                 status, _, text = daemon.call("POST", "/v1/jobs", job)
                 self.assertEqual(status, 202, text)
                 ids.append(json.loads(text)["id"])
-            # A part of what moved may be wanted back.
+            # The other domain may claim back a part of what it released.
             other = test_cluster.daemons_in_domain("d2")[0]
             status, _, text = other.call(
                 "POST", "/v1/jobs", dict(job, kind="batch", tasks=4))
@@ -35,7 +35,7 @@
                 return all(json.loads(daemon.call(
                     "GET", "/v1/jobs/" + each)[2]).get("state") == "finished"
                            for each in ids)
-            cluster.wait_until(finished, 30, "jobs end")
+            cluster.wait_until(finished, 30, "all jobs end")
             self.assertEqual([], checker.check_customer_limits(
                 test_cluster.history(), {"refuge": CONTRACT_LIMITS}))
 
--- a/tests/failure/soak.py
+++ b/tests/failure/soak.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Runs trials with faults chosen by seed. Prints each seed that fails.
+"""Runs trials with faults drawn from a seed. Prints the result of each seed.
 
 Replay one with: soak.py --build build --first SEED --seeds 1
 """
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -1,7 +1,7 @@
 """Starts a platform, backend servers and daemons as separate processes.
 
-Everything listens on loopback. The processes write their output into a
-directory of the cluster's own, which is removed when the test has passed.
+Everything listens on loopback. The processes write their logs to a temporary
+directory, which is removed when the test passes.
 """
 
 import http.client
@@ -19,12 +19,17 @@
 START_TIMEOUT_S = 20
 
 
-# Below the range from which the system takes ports for connections.
+# Below the ephemeral port range, so that outgoing connections don't take the
+# ports that a test has yet to bind.
 PORT_BLOCK_STARTS = range(10000, 32000, 100)
 
 
 class PortBlock:
-    """A block of ports of one cluster's own, held by a socket on its first."""
+    """A block of ports reserved for one cluster.
+
+    A socket bound to the first port of the block reserves it, as clusters of
+    other processes try the same port.
+    """
 
     def __init__(self):
         self._reservation = socket.socket()
@@ -36,7 +41,7 @@
                 return
             except OSError:
                 continue
-        raise AssertionError("no block of ports is free")
+        raise AssertionError("no free block of ports")
 
     def allocate(self):
         while True:
@@ -66,7 +71,11 @@
 
 
 def wait_until(condition, timeout, description):
-    """Waits until the condition holds; fails loudly where it never does."""
+    """Waits until the condition is true, and returns its value.
+
+    An OSError in the condition counts as false. Raises AssertionError after
+    timeout seconds.
+    """
     end = time.monotonic() + timeout
     while True:
         try:
@@ -81,7 +90,7 @@
 
 
 class Process:
-    """A process that this cluster started."""
+    """A child process with a log file."""
 
     def __init__(self, name, command, directory):
         self.name = name
@@ -133,7 +142,12 @@
 
 
 class Cluster:
-    """One firm: a platform, and daemons and backend VMs by failure domain."""
+    """A platform, with daemons and backend servers in each failure domain.
+
+    vm_shapes lists the capacities of each domain's VMs; without it, all VMs
+    have the capacity given by the other arguments. With a relay.Network, each
+    daemon reaches all other processes through relays.
+    """
 
     def __init__(self, build, domains=2, daemons=2, vms=2, slots=8,
                  milli_cores=16000, memory_mb=32000, accelerators=0,
@@ -191,7 +205,8 @@
              self.history_path(domain)], self.directory)
 
     def _map_addresses(self, name, daemon_specs):
-        """Returns the address map of a daemon, and its platform's port."""
+        """Returns the address map of a daemon and the port through which it
+        reaches the platform."""
         if self.network is None:
             return {}, self.platform_port
         targets = [("backend-" + domain, port)
@@ -239,10 +254,10 @@
         for backend in self.backends.values():
             backend.start()
         wait_until(lambda: call(self.platform_port, "GET", "/counts"),
-                   START_TIMEOUT_S, "platform starts")
+                   START_TIMEOUT_S, "platform responds")
         for domain, port in self.backend_ports.items():
             wait_until(lambda: call(port, "GET", "/vm/%s-vm1/holder" % domain),
-                       START_TIMEOUT_S, "backend starts")
+                       START_TIMEOUT_S, "backend server responds")
         for vm in self.vms.values():
             self.post_to_platform("/vms/register", vm)
         for daemon in self.daemons.values():
@@ -261,7 +276,7 @@
             process.kill()
         self.ports.close()
         if keep:
-            print("logs are kept in", self.directory)
+            print("logs kept in", self.directory)
         else:
             shutil.rmtree(self.directory, ignore_errors=True)
 
@@ -280,7 +295,7 @@
         return None
 
     def wait_for_owner(self, domain, timeout=START_TIMEOUT_S):
-        """Waits for an owner that holds every live VM of its domain."""
+        """Waits for an owner that has claimed every live VM of its domain."""
         def owner_holding_vms():
             owner = self.owner(domain)
             if owner is None:
@@ -299,7 +314,7 @@
                     "/vm/%s/control" % vm, faults)
 
     def create_contract(self, customer, daemon=None, **terms):
-        """Creates a contract and waits until it is in force everywhere."""
+        """Creates a contract; returns when it is in force on all daemons."""
         all_terms = dict(milli_cores=1000000, memory_mb=1000000,
                          accelerators=1000, requests=1000,
                          task_start_within_ms=60000,
@@ -314,7 +329,7 @@
         return response
 
     def history(self):
-        """Returns what all backend servers saw, in the order of time."""
+        """Returns the events of all backend servers in order of time."""
         lines = []
         for domain in self.domains:
             try:
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -1,14 +1,18 @@
-"""The faults that trials are made of. Each takes the trial it strikes."""
+"""Faults that a trial injects. Each is a function of the trial.Trial.
+
+Command lines and test names refer to the functions in ALL by name.
+"""
 
 import signal
 import threading
 import time
 
+# The longest lease in trial.TIMINGS_MS is 6 s.
 LONGER_THAN_LEASES_S = 7
 
 
 def combine(*fault_functions):
-    """Returns one fault that strikes with all of these at once."""
+    """Returns one fault that injects all of these at the same time."""
     def run_all(trial):
         threads = [threading.Thread(target=fault, args=(trial,))
                    for fault in fault_functions]
@@ -81,7 +85,7 @@
 
 
 def cut_answers_from_backend(trial):
-    """Calls reach the backend servers, their answers do not come back."""
+    """Requests reach the backend servers, but their responses are lost."""
     trial.isolated_vms |= vms_of_domain(trial)
     trial.network.cut(trial.owner().name, "backend-d1", ("back",))
     time.sleep(5)
@@ -89,7 +93,7 @@
 
 
 def cut_domain(trial):
-    """The domain is cut off from the platform and the other domain."""
+    """Partitions domain d1 from the platform and from the other domains."""
     others = [d.name for d in trial.cluster.daemons.values()
               if d.domain != "d1"]
     for daemon in trial.cluster.daemons_in_domain("d1"):
@@ -144,7 +148,7 @@
 
 
 def restart_all(trial):
-    """Replaces every daemon, one after the other, by a planned stop."""
+    """Restarts every daemon in turn by a planned shutdown."""
     for daemon in trial.cluster.daemons.values():
         daemon.signal(signal.SIGTERM)
         daemon.wait(30)
@@ -157,7 +161,7 @@
     trial.control_platform(down=True)
     time.sleep(1)
     for daemon in trial.cluster.daemons_in_domain("d1"):
-        # While the platform is down every daemon still answers operators.
+        # Daemons answer operators also while the platform is down.
         if daemon.state()["is_owner"]:
             daemon.kill()
             break
--- a/tests/support/fleet_checker.py
+++ b/tests/support/fleet_checker.py
@@ -1,8 +1,15 @@
-"""The promises to callers, checked on what VMs ran and callers saw."""
+"""Checks the history of a fleet trial, and what callers saw, for violations.
+
+A history is a list of event dicts in order of time, as VmSimulation records
+them: "what" is the kind of event, "task" is JOB.OCCURRENCE.STEP.INDEX, and
+"run" counts the runs of that task. Each check returns a list of messages, one
+for each violation.
+"""
 
 
 def check_exclusive_runs(history):
-    """No task has two runs at a time, and none once its end is recorded."""
+    """No task has two runs at the same time, and none starts once a
+    successful end of the task was acknowledged to the VM."""
     violations, running, done = [], {}, set()
     for event in history:
         task, run = event["task"], event.get("run")
@@ -10,10 +17,11 @@
             done.add(task)
         elif event["what"] == "start":
             if task in done:
-                violations.append("%s #%d starts after its end was recorded" %
-                                  (task, run))
+                violations.append(
+                    "%s #%d starts after its end was recorded" %
+                    (task, run))
             if running.get(task):
-                violations.append("%s #%d starts while %s run" %
+                violations.append("%s #%d starts while runs %s are active" %
                                   (task, run, running[task]))
             running.setdefault(task, []).append((run, event["vm"]))
         elif (run, event["vm"]) in running.get(task, []):
@@ -22,7 +30,7 @@
 
 
 def check_vm_capacity(history, vms):
-    """No VM holds more than it has."""
+    """No VM runs tasks that need more than its CPU or memory capacity."""
     violations, used = [], {vm.name: [0, 0] for vm in vms}
     for event in history:
         if "vm" not in event:
@@ -33,13 +41,13 @@
             vm_usage[index] += sign * event["size"][index]
         capacity = next(vm for vm in vms if vm.name == event["vm"]).capacity
         if vm_usage[0] > capacity["cpu"] or vm_usage[1] > capacity["mem_mb"]:
-            violations.append("%s holds %s of %s after %s" %
+            violations.append("%s uses %s of %s after an event of %s" %
                               (event["vm"], vm_usage, capacity, event["task"]))
     return violations
 
 
 def check_step_order(history, jobs):
-    """A step starts when the steps before it are done, on VMs that suit."""
+    """A step starts only after all steps that it depends on are done."""
     violations, done = [], set()
     for event in history:
         if event["what"] == "done":
@@ -52,7 +60,7 @@
             missing = [index for index in range(steps[earlier_step]["count"])
                        if "%s.%s.%d.%d" % (job, occurrence, earlier_step,
                                            index) not in done]
-            # One end as done stands for a gang.
+            # A gang is done when at least one member ended as done.
             if missing and not (steps[earlier_step].get("gang") and
                                 len(missing) < steps[earlier_step]["count"]):
                 violations.append("%s starts before step %d is done" %
@@ -61,8 +69,10 @@
 
 
 def check_vm_labels(history, jobs, vms):
+    """A step that requires a label runs only on VMs with that label."""
     labels = {vm.name: vm.label for vm in vms}
-    return ["%s runs on %s" % (event["task"], event["vm"])
+    return ["%s runs on %s, which lacks its label" %
+            (event["task"], event["vm"])
             for event in history if event["what"] == "start"
             for step in [jobs[event["task"].split(".")[0]]["steps"][
                 int(event["task"].split(".")[2])]]
@@ -70,7 +80,7 @@
 
 
 def check_reported_outcomes(history, calls, jobs):
-    """What callers were told is what happened to their jobs."""
+    """The state reported to a caller is what happened to the job."""
     violations = []
     ran = {event["task"].split(".")[0] for event in history
            if event["what"] == "start"}
@@ -84,21 +94,24 @@
         violations += ["%s: %s" % (job, problem)
                        for problem in call["problems"]]
         if call["refused"] and job in ran:
-            violations.append(job + " was refused as not run, and ran")
+            violations.append(job + " was refused as not run, but ran")
         if call["state"] == "completed":
             for step_number, step in enumerate(jobs[job]["steps"]):
                 tasks = ["%s.0.%d.%d" % (job, step_number, index)
                          for index in range(step["count"])]
                 ended = [task in done for task in tasks]
                 if not (any(ended) if step.get("gang") else all(ended)):
-                    violations.append("%s is completed, step %d is not" %
-                                      (job, step_number))
+                    violations.append(
+                        "%s is reported as completed, but step %d is not" %
+                        (job, step_number))
         elif call["state"] == "failed":
             if max((count for task, count in failed.items()
                     if task.startswith(job)), default=0) < call["attempts"]:
-                violations.append(job + " is failed without its attempts")
+                violations.append(
+                    job + " is reported as failed before all of its attempts")
         elif call["state"] == "cancelled" and not call["cancelled"]:
-            violations.append(job + " is cancelled, and nobody asked for it")
+            violations.append(
+                job + " is reported as cancelled without a request to cancel")
         elif call["accepted"] and call["state"] is None:
-            violations.append(job + " was accepted and has no end")
+            violations.append(job + " was accepted but did not end")
     return violations
--- a/tests/support/fleet_faults.py
+++ b/tests/support/fleet_faults.py
@@ -1,4 +1,8 @@
-"""Faults of a fleet trial: functions of the trial and a length in seconds."""
+"""Faults that a fleet trial injects.
+
+Each is a function of the fleet_trial.Trial and its duration in seconds, and
+undoes its effect at the end. Soaks print the functions in ALL by name.
+"""
 
 import random
 import signal
@@ -6,7 +10,11 @@
 
 
 def random_daemon(trial):
-    """Owners are not picked out: with two to six daemons each is hit often."""
+    """Returns any daemon.
+
+    Owners need not be selected: with two to six daemons, a random choice hits
+    them often.
+    """
     return random.choice(trial.daemons)
 
 
@@ -47,12 +55,17 @@
 
 
 def hang_up(trial, seconds):
+    """Sends SIGHUP to each daemon in turn."""
     for daemon in trial.daemons:
         trial.signal(daemon, signal.SIGHUP)
         time.sleep(seconds / len(trial.daemons))
 
 
 def cut_links(trial, pairs, seconds, directions=("forth", "back")):
+    """Cuts the links between the (source, target) pairs for some seconds.
+
+    The direction "forth" is from source to target, "back" the other one.
+    """
     for source, target in pairs:
         trial.network.cut(source, target, directions)
     time.sleep(seconds)
@@ -80,6 +93,7 @@
 
 
 def cut_zone(trial, seconds):
+    """Partitions a zone from the other zone, the store and the advisor."""
     zone = random.choice(trial.zones)
     zone_members = {member.name for member in trial.daemons + trial.vms
                     if member.zone == zone}
@@ -101,7 +115,7 @@
 
 
 def reset_links(trial, seconds):
-    """Healing a cut link closes what was open on it."""
+    """Resets all connections: restoring a cut link closes them."""
     for _ in range(3):
         cut_links(trial, [(None, None)], 0.02)
         time.sleep(seconds / 3)
@@ -134,6 +148,7 @@
 
 
 def store_forgets(trial, seconds):
+    """The store drops its change history, so that daemons must read anew."""
     for _ in range(3):
         trial.store.forget_history()
         time.sleep(seconds / 3)
@@ -145,6 +160,7 @@
 
 
 def set_on_two_vms(trial, seconds, field, value, normal):
+    """Sets a field of two random VMs for some seconds."""
     chosen = random.sample(trial.vms, 2)
     for vm in chosen:
         setattr(vm, field, value)
@@ -158,10 +174,15 @@
 
 
 def tasks_stand_still(trial, seconds):
+    """Tasks on two VMs make no progress."""
     set_on_two_vms(trial, seconds, "hangs", True, False)
 
 
 def orders_late(trial, seconds):
+    """Two VMs execute half of their commands late and never respond to them.
+
+    Holds, which renew the lease, are not affected.
+    """
     set_on_two_vms(trial, seconds, "late_share", 0.5, 0)
 
 
@@ -179,6 +200,6 @@
 
 
 def draw_faults(rng, count, seconds):
-    """Faults that come in series and overlap."""
+    """Draws faults that may overlap, as (start, function, duration) in s."""
     return [(rng.uniform(1, seconds), rng.choice(ALL), rng.uniform(0.5, 5))
             for _ in range(count)]
--- a/tests/support/fleet_load.py
+++ b/tests/support/fleet_load.py
@@ -1,15 +1,18 @@
-"""Callers of the fleet: they hand jobs in and ask for them until they end."""
+"""Clients of a fleet trial, which submit jobs and poll until they end."""
 
 import http.client
 import json
 import threading
 import time
 
+# An accepted job must be known to every daemon after this long.
 MAX_VISIBILITY_DELAY_S = 3
 POLL_INTERVAL_S = 0.25
 
 
 class JobLoad:
+    """Submits random jobs, each from its own thread; records the calls."""
+
     def __init__(self, trial, rng):
         self.trial, self.rng = trial, rng
         self.calls = []
@@ -54,12 +57,12 @@
             time.sleep(self.rng.expovariate(jobs_per_s))
 
     def send_request(self, method, call, body=None):
-        """Returns (status, body), or (None, None) where nothing is known."""
+        """Returns (status, body), or (None, None) without a valid response."""
         port = self.trial.random_daemon().frontend_port
         path = self.trial.queues[call["queue"]]["path_prefix"] + call["job"]
         headers = {"Host": "h", "Deadline-Ms": "3000",
                    "Content-Type": "application/json"}
-        # Connections stay open until the daemon closes them or is gone.
+        # Connections are reused until the daemon closes them or has exited.
         connection = (call["open"].pop(port, None) or
                       http.client.HTTPConnection("127.0.0.1", port,
                                                  timeout=3.5))
@@ -88,7 +91,7 @@
         while not self.stopped and call["state"] is None:
             time.sleep(POLL_INTERVAL_S)
             if will_cancel and not call["cancelled"]:
-                # It may have been carried out whatever the answer is.
+                # The job may be cancelled whatever the response is.
                 call["cancelled"] = True
                 self.send_request("DELETE", call)
             sent_at = time.monotonic()
@@ -98,7 +101,7 @@
                 call["state"] = response["state"]
             accepted_for_s = sent_at - (call["accepted"] or sent_at)
             if status == 410 and accepted_for_s > MAX_VISIBILITY_DELAY_S:
-                call["problems"].append("410 %.1f s after it was accepted" %
+                call["problems"].append("status 410 %.1f s after acceptance" %
                                         accepted_for_s)
                 return
             if status == 410 and call["accepted"] is None:
@@ -112,11 +115,12 @@
                 call["accepted"] = time.monotonic()
                 return
             if status in (429, 503):
-                # True of this try; one before may have been carried out.
+                # This attempt was not run, but an earlier one whose outcome
+                # is unknown may have been.
                 call["refused"] = not outcome_unknown
                 return
             if status not in (None, 502, 504):
-                call["problems"].append("POST was answered %s" % status)
+                call["problems"].append("POST returned status %s" % status)
                 return
             outcome_unknown = True
             time.sleep(POLL_INTERVAL_S)
--- a/tests/support/fleet_trial.py
+++ b/tests/support/fleet_trial.py
@@ -1,4 +1,9 @@
-"""One trial of the daemons on stand-ins for the operator platform."""
+"""Runs one trial of the daemons with stand-ins for the operator platform.
+
+The daemons are real processes. The store, the advisor and the VMs are
+simulated in this process, and every connection between them passes through a
+relay that faults can cut or delay.
+"""
 
 import json
 import os
@@ -24,11 +29,14 @@
 
 
 class Daemon:
+    """A cuminroadd process and its ports."""
+
     def __init__(self, name, zone, ports):
         self.name, self.zone = name, zone
         (self.frontend_port, self.ready_port, self.peer_port,
          self.metrics_port) = ports
         self.process = None
+        # Faults that overlap may start and stop the same daemon.
         self.lock = threading.Lock()
 
     def alive(self):
@@ -36,7 +44,7 @@
 
 
 class Trial:
-    """Two zones with daemons and VMs, all of whose links can be cut."""
+    """Daemons and VMs in two zones, with the load on them."""
 
     zones = ("za", "zb")
 
@@ -75,6 +83,7 @@
         operator_servers.serve_vm(vm)
 
     def connect_daemons(self):
+        """Opens a relay for each connection and writes the settings."""
         advisor_port = self.ports.allocate()
         operator_servers.serve_advisor(advisor_port, self.simulation)
         for daemon in self.daemons:
@@ -108,6 +117,7 @@
         return os.path.join(self.directory, "%s.%s" % (daemon.name, extension))
 
     def random_daemon(self):
+        """Returns a daemon that is alive, or any if none is."""
         alive = [daemon for daemon in self.daemons if daemon.alive()]
         return random.choice(alive or self.daemons)
 
@@ -124,6 +134,10 @@
                          "CUMINROAD_CONFIG": self.path(daemon, "json")})
 
     def terminate(self, daemon, signal_number=signal.SIGKILL):
+        """Sends the signal and waits until the daemon has exited.
+
+        A daemon that ignores the signal for 6 s is killed.
+        """
         with daemon.lock:
             if daemon.alive():
                 daemon.process.send_signal(signal_number)
@@ -140,6 +154,7 @@
                 daemon.process.send_signal(signal_number)
 
     def write_config(self):
+        """Writes the operator's configuration under a new version."""
         self.version += self.rng.randint(1, 5)
         routes = [{"name": name, **queue}
                   for name, queue in self.queues.items()]
@@ -148,7 +163,7 @@
              "services": [{"name": "svc"}], "limits": {}}).encode())
 
     def publish_vms(self):
-        """VMs keep their entries up to date."""
+        """Writes the VMs' entries to the store until the trial ends."""
         while not self.simulation.closed:
             for vm in self.vms:
                 self.store.put("servers", vm.name,
@@ -161,7 +176,11 @@
             for daemon in self.daemons)
 
     def run(self, faults, seconds=10, jobs_per_s=6):
-        """faults: (at, function, seconds), which may overlap."""
+        """Runs the load under the faults, then checks the history.
+
+        faults: tuples of the start in seconds after the load began, the fault
+        function, and its duration in seconds. Faults may overlap.
+        """
         try:
             self.write_config()
             threading.Thread(target=self.simulation.run, daemon=True).start()
@@ -181,7 +200,7 @@
         finally:
             self.close()
         if violations:
-            raise AssertionError("%d problems, logs in %s:\n%s" % (
+            raise AssertionError("%d violations, logs in %s:\n%s" % (
                 len(violations), self.directory, "\n".join(violations[:10])))
         shutil.rmtree(self.directory)
 
@@ -196,6 +215,7 @@
             self.start(daemon)
 
     def finish_and_check(self):
+        """Waits until all jobs have ended; returns the violations."""
         deadline = time.monotonic() + JOBS_END_TIMEOUT_S
         for thread in self.load.threads:
             thread.join(max(deadline - time.monotonic(), 0))
--- a/tests/support/operator_servers.py
+++ b/tests/support/operator_servers.py
@@ -1,4 +1,4 @@
-"""HTTP servers of the stand-ins for the operator platform."""
+"""HTTP servers for the stand-ins of the operator platform."""
 
 import json
 import random
@@ -12,8 +12,11 @@
 
 
 def start_server(port, handle):
-    """answer(method, path, query, headers, body) returns (status, body), or
-    None to close the connection without an answer."""
+    """Serves HTTP on a loopback port, on threads in the background.
+
+    handle(method, path, query, headers, body) returns (status, body), or None
+    to close the connection without a response.
+    """
 
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
@@ -48,7 +51,7 @@
         request_queue_size = 64
 
         def handle_error(self, request, client_address):
-            # Daemons are killed and links are cut while answers are written.
+            # Writes fail when a daemon is killed or a link is cut.
             pass
 
     server = Server(("127.0.0.1", port), Handler)
@@ -57,6 +60,7 @@
 
 
 def serve_store(port, store, daemon_name):
+    """Serves the store to one daemon."""
     def handle(_, path, query, headers, body):
         del headers
         if store.busy:
@@ -72,6 +76,11 @@
 
 
 def serve_vm(vm):
+    """Serves a VM on its port.
+
+    A hold is a long poll: it returns when a run has ended or after wait_ms.
+    A VM that restarts while it handles a command does not respond.
+    """
     simulation = vm.simulation
 
     def execute(path, body):
@@ -85,7 +94,7 @@
         if headers.get("Expected-Instance") != vm.name:
             return 421, {}
         if path != "/v1/hold" and simulation.rng.random() < vm.late_share:
-            # Carried out after newer orders, and never answered.
+            # Executed after newer commands, and without a response.
             threading.Timer(simulation.rng.uniform(0.5, 4), execute,
                             (path, body)).start()
             time.sleep(5)
@@ -106,7 +115,10 @@
 
 
 def serve_advisor(port, simulation):
-    """Allows each step on many VMs, always the same, one of a zone at least."""
+    """Serves an advisor that allows each step on a fixed subset of the VMs.
+
+    The subset has at least one VM of each zone.
+    """
     step_locks = {}
 
     def is_allowed(step, vm):
--- a/tests/support/operator_store.py
+++ b/tests/support/operator_store.py
@@ -1,16 +1,20 @@
-"""The operator platform's store, as a stand-in: rows, transactions, a feed."""
+"""A stand-in for the operator platform's store: rows, transactions, a feed."""
 
 import base64
 import re
 import threading
 import time
 
+# Changes kept for feeds; a reader that is further behind gets status 410.
 MAX_HISTORY_ROWS = 4000
 LOOPBACK_ADDRESS = re.compile(rb"127\.0\.0\.1:(\d{5})")
 
 
 class Store:
-    """Rows by (table, part, key). Each daemon sees addresses of its own."""
+    """Versioned rows by (table, part, key).
+
+    Each daemon reads addresses that lead through its own relays.
+    """
 
     def __init__(self):
         self.changed = threading.Condition()
@@ -22,11 +26,12 @@
         self.busy = False
         self.response_delay_s = 0
         self.lost_response_share = 0
-        # Addresses as a daemon reaches them: {reader: {port: port}}.
+        # Ports in rows and the relay ports through which a daemon reaches
+        # them: {daemon name: {port: relay port}}.
         self.port_maps = {}
 
     def put(self, table, key, value, part=""):
-        """A write of the operator, or of a VM."""
+        """Writes a row on behalf of the operator or of a VM."""
         with self.changed:
             self._apply([(table, part, key, value)])
 
--- a/tests/support/operator_vms.py
+++ b/tests/support/operator_vms.py
@@ -1,10 +1,11 @@
-"""VMs of the operator platform, as stand-ins, and what ran on them."""
+"""Stand-ins for the VMs of the operator platform, with a history of runs."""
 
 import json
 import random
 import threading
 import time
 
+# A gang member that waits longer for the others ends as "alone".
 GANG_START_TIMEOUT_S = 3
 MAX_LEASE_MS = 6000
 STOP_DELAY_S = 0.1
@@ -12,6 +13,8 @@
 
 
 class Run:
+    """One run of a task on a VM."""
+
     def __init__(self, name, number, duration_s, fails, size):
         self.name, self.number, self.size = name, number, size
         self.duration_s, self.fails = duration_s, fails
@@ -21,6 +24,8 @@
 
 
 class Vm:
+    """A simulated VM, which runs tasks until its lease expires."""
+
     def __init__(self, simulation, name, zone, capacity, label):
         self.simulation, self.name, self.zone = simulation, name, zone
         self.capacity, self.label = capacity, label
@@ -31,7 +36,7 @@
         self.restart()
 
     def restart(self):
-        """A new life, which knows nothing of the one before."""
+        """Starts a new incarnation, without any state of the one before."""
         with self.simulation.lock:
             for run in list(getattr(self, "running", {}).values()):
                 self.simulation.record(self, run, "crashed")
@@ -54,7 +59,7 @@
                 "capacity": self.capacity, "labels": [self.label]}
 
     def end_run(self, run, outcome):
-        """Called with the lock held."""
+        """Records the end of a run. Called with the lock held."""
         del self.running[run.name]
         self.highest_ended_run[run.name] = max(
             self.highest_ended_run.get(run.name, 0), run.number)
@@ -72,7 +77,10 @@
         self.lease_end_ms = max(self.lease_end_ms, lease_end_ms)
 
     def handle(self, path, body):
-        """Returns (status, body). Called with the lock held."""
+        """Executes a command; returns (status, body).
+
+        Called with the lock held.
+        """
         if body.get("fencing_token", 0) < self.highest_token:
             return self.refuse("fence")
         self.highest_token = body.get("fencing_token", 0)
@@ -119,6 +127,7 @@
         return 200, self.status()
 
     def status(self):
+        """Returns the running tasks and the ends not yet acknowledged."""
         now = time.monotonic()
         rows = []
         for run in self.running.values():
@@ -130,6 +139,7 @@
                 "running": rows, "finished": self.unacknowledged_ends[:500]}
 
     def tick(self, now):
+        """Ends runs when the lease has expired or a stop is due."""
         for run in list(self.running.values()):
             if self.clock_ms() >= self.lease_end_ms:
                 self.end_run(run, "lapsed")
@@ -138,7 +148,7 @@
 
 
 class VmSimulation:
-    """All VMs, what the jobs are, and the history that the checks read."""
+    """All VMs, the definitions of the jobs, and the history for the checks."""
 
     def __init__(self, service, seed):
         self.service = service
@@ -179,7 +189,8 @@
 
     def make_run(self, name, number, spec):
         step = self.step_of_task(name)
-        # The same for each play of a seed, whatever the threads do.
+        # Seeded by task and run, so that a replay of a trial's seed draws the
+        # same values whatever the order of the threads.
         run_rng = random.Random("%s %d" % (name, number))
         duration_s = step["estimate_ms"] / 1000 * run_rng.uniform(0.5, 1.5)
         fails = run_rng.random() < json.loads(spec)["fails"]
@@ -195,6 +206,7 @@
                 time.monotonic() < float(expires_at))
 
     def tick(self, now):
+        """Starts and ends runs according to their durations."""
         for vm in self.vms.values():
             vm.tick(now)
         gangs = {}
@@ -215,6 +227,10 @@
             self.tick_gang(members, now)
 
     def tick_gang(self, members, now):
+        """Starts a gang once all members are present; ends them together.
+
+        When a member of a started gang is gone, the others end as "broken".
+        """
         expected_count = self.step_of_task(members[0][1].name)["count"]
         is_complete = len(members) == expected_count
         start_times = [run.started_at for _, run in members
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,7 +1,7 @@
-"""A network that can be cut: TCP relays between the processes of a cluster.
+"""TCP relays between the processes of a cluster, to simulate partitions.
 
-Each link, from one daemon to one address, has a relay of its own. A cut link
-keeps its connections open and forwards nothing, as a partition would; when it
+Each link, from one daemon to one address, has its own relay. A cut link keeps
+its connections open and forwards nothing, as in a network partition; when it
 is healed, those connections are closed.
 """
 
@@ -10,7 +10,10 @@
 
 
 class Link:
-    """One relay: listens, connects on, and forwards unless it is cut."""
+    """A relay that forwards connections to one port unless it is cut.
+
+    The direction "forth" is towards the target, "back" from it.
+    """
 
     def __init__(self, loop, target_port):
         self._loop = loop
@@ -81,7 +84,7 @@
 
 
 class Network:
-    """All links of a cluster, on a thread of their own."""
+    """All links of a cluster, served by a background thread."""
 
     def __init__(self):
         self._loop = asyncio.new_event_loop()
@@ -89,14 +92,14 @@
         threading.Thread(target=self._loop.run_forever, daemon=True).start()
 
     def add_link(self, source, target_name, target_port):
-        """Returns the port that source uses to reach the target."""
+        """Returns the port through which source reaches the target."""
         link = Link(self._loop, target_port)
         asyncio.run_coroutine_threadsafe(link.open(), self._loop).result()
         self._links.setdefault((source, target_name), []).append(link)
         return link.port
 
     def links_between(self, source, target):
-        """Returns the links from source to target; None stands for any."""
+        """Returns the links from source to target; None matches any."""
         return [link for (a, b), links in self._links.items()
                 if source in (None, a) and target in (None, b)
                 for link in links]
--- a/tests/support/soak_seeds.py
+++ b/tests/support/soak_seeds.py
@@ -1,4 +1,4 @@
-"""The command line of the soaks, which play seeds one after the other."""
+"""The command line of the soak tests, which run one trial for each seed."""
 
 import argparse
 import os
@@ -7,7 +7,7 @@
 
 
 def run_trial(seed, fault_names, run, summary):
-    """Runs one trial and prints a line; returns whether it passed."""
+    """Runs one trial and prints its result; returns whether it passed."""
     try:
         run()
     except BaseException as error:
@@ -19,8 +19,12 @@
 
 
 def main(description, run_seed, add_options=None, run_before=None):
-    """run_seed(seed, options) returns whether the seed passed. before(options)
-    returns whether it did all that was asked."""
+    """Runs the seeds that the command line gives, and exits with 1 on failure.
+
+    run_seed(seed, options) returns whether the seed passed.
+    run_before(options) returns true if it did all that was asked; then no
+    seeds are run.
+    """
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--build", default="build")
     parser.add_argument("--first", type=int, default=1)
--- a/tests/support/trial.py
+++ b/tests/support/trial.py
@@ -1,7 +1,8 @@
-"""One trial: a cluster under load and faults, then the checks of the history.
+"""Runs one trial: a cluster under load with injected faults.
 
-A fault is a function of the trial. It may sleep, and it heals what it broke,
-or leaves that to the end of the trial.
+After the load has stopped, the history is checked. A fault is a function that
+takes the Trial. It may sleep, and it undoes its effect itself or leaves that
+to clear_faults() at the end of the trial.
 """
 
 import json
@@ -14,17 +15,18 @@
 import relay
 import workload
 
-# Short leases, so that a trial of seconds sees them lapse.
+# Leases are short so that they can expire within a trial of a few seconds.
 TIMINGS_MS = dict(task_lease=6000, task_renewal=1500, grant_lease=4000,
                   grant_renewal=500, max_request_time=3000, vm_list_poll=500,
                   config_poll=500, shutdown_linger=300)
 CONTRACT_LIMITS = dict(milli_cores=24000, memory_mb=24000, requests=12)
+# From the acceptance of a contract change until every daemon applies it.
 MAX_IN_FORCE_DELAY_NS = 16 * 10**9
 JOBS_END_TIMEOUT_S = 60
 
 
 class Trial:
-    """The cluster, its load, and what a fault needs to strike it."""
+    """A cluster, its load, and the methods that faults use."""
 
     def __init__(self, seed, domains=2, daemons=2, vms=3):
         self.network = relay.Network()
@@ -33,13 +35,17 @@
             vms=vms, slots=4, milli_cores=8000, memory_mb=16000,
             timings=TIMINGS_MS, network=self.network)
         self.load = workload.Workload(self.cluster, seed)
-        # VMs that a fault keeps from their owner beyond the lease.
+        # VMs that a fault isolates from their owner for longer than a lease.
         self.isolated_vms = set()
-        # A fault that kills, freezes or cuts breaks calls; others may not.
+        # Set by faults that drop calls in flight, by killing or suspending a
+        # daemon. Under all other faults no call may be dropped.
         self.breaks_calls = False
 
     def run(self, *faults, load_after_faults_s=4):
-        """Plays the faults one after the other under load, and checks."""
+        """Injects the faults one after the other under load, then checks.
+
+        Raises AssertionError with up to 20 violations.
+        """
         with self.cluster:
             for customer in self.load.customers:
                 self.cluster.create_contract(customer, **CONTRACT_LIMITS)
@@ -93,7 +99,7 @@
     def wait_for_jobs(self):
         try:
             cluster.wait_until(lambda: not self.unfinished_jobs(),
-                               JOBS_END_TIMEOUT_S, "jobs end")
+                               JOBS_END_TIMEOUT_S, "all jobs end")
         except AssertionError:
             unfinished = self.unfinished_jobs()
             raise AssertionError("%d jobs did not end: %s" %
@@ -102,7 +108,7 @@
     def check(self):
         history = self.cluster.history()
         load = self.load
-        # A task that failed by a fault of its VM has run to its end too.
+        # A task that failed because of its VM counts as run to its end, too.
         return (checker.check_vm_capacity(history, self.cluster.vms,
                                           self.isolated_vms) +
                 checker.check_no_concurrent_task_runs(history) +
@@ -126,6 +132,6 @@
         outcomes = {}
         for call in self.load.calls:
             outcomes[call["outcome"]] = outcomes.get(call["outcome"], 0) + 1
-        return "%s; %d jobs; %d changes accepted, %d in conflict" % (
+        return "%s; %d jobs; %d contract changes accepted, %d conflicts" % (
             outcomes, len(self.load.jobs), len(self.load.accepted_changes),
             self.load.version_conflicts)
--- a/tests/support/workload.py
+++ b/tests/support/workload.py
@@ -1,4 +1,4 @@
-"""Concurrent callers and operators, who write down what they did and saw."""
+"""Concurrent callers and operators that record their calls and responses."""
 
 import json
 import random
@@ -15,7 +15,8 @@
 
 
 class Workload:
-    """Runs callers, job submitters, operators and watchers until stopped."""
+    """Threads that send requests, submit jobs, change contracts and read
+    contract versions until stopped."""
 
     def __init__(self, test_cluster, seed, customers=("refuge", "counter")):
         self.cluster = test_cluster
@@ -56,7 +57,7 @@
         while not self._stopping.is_set():
             try:
                 time.sleep(action(rng))
-            except Exception as error:  # shown by stop()
+            except Exception as error:  # raised by stop()
                 self.errors.append(error)
                 return
 
@@ -71,7 +72,7 @@
     def _call_service(self, rng):
         kind = rng.choice(["idempotent", "plain", "ticket", "key"])
         mark = self._unique_name(kind)
-        # Some take longer than a planned stop lingers.
+        # 900 ms is longer than shutdown_linger in trial.TIMINGS_MS.
         work_ms = rng.choice([1, 1, 20, 20, 100, 900])
         body = json.dumps({"mark": mark, "work_ms": work_ms,
                            "fill": "x" * rng.choice([1, 5000])})
@@ -85,8 +86,8 @@
             if ticket is None:
                 return CALL_PAUSE_S
             headers["X-Ticket"] = ticket
-        # Only named requests may be sent again by a caller who wants it once;
-        # now and then they are, though the first try was answered.
+        # A caller may resend a request that must run only once if it carries
+        # a ticket or a key. Some are resent even after a response.
         max_attempts = 1 if kind in ("idempotent", "plain") else MAX_ATTEMPTS
         for _ in range(max_attempts):
             outcome = self._send_and_record(daemon, customer, mark, body,
@@ -114,7 +115,7 @@
         except ConnectionRefusedError:
             outcome, response = "refused", b""
         except (OSError, cluster.http.client.HTTPException):
-            # What the daemon made of it is not known to the caller.
+            # The caller cannot know whether the request was run.
             outcome, response = "broken", b""
         with self._lock:
             self.calls.append(dict(
@@ -129,7 +130,7 @@
                    kind=rng.choice(["batch", "batch", "gang"]),
                    tasks=rng.randint(1, 4), memory_mb=1000,
                    milli_cores=rng.choice([500, 1000, 4000]),
-                   # Some outlast a takeover and the lapse of leases.
+                   # 7 s is longer than a takeover and the longest lease.
                    duration_ms=rng.choice([50, 300, 1000, 7000]),
                    restartable=rng.random() < 0.7)
         for _ in range(MAX_ATTEMPTS):
@@ -179,8 +180,8 @@
                 status, response = daemon.operator_call("GET", "/v1/contracts")
             except (OSError, ValueError, cluster.http.client.HTTPException):
                 return VERSION_READ_PAUSE_S
-            # An answer that was held up says little about when it was true;
-            # its start is the earliest time for which it can speak.
+            # The response may be delayed. It describes some time after the
+            # call began, so that the start is the time it can vouch for.
             if status == 200 and response["applied"] > 0:
                 with self._lock:
                     self.version_observations += [
