--- a/benchmark/front_door.py
+++ b/benchmark/front_door.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Measures what the hop through a daemon costs, against direct calls.
+"""Measures the latency that a daemon adds to calls of a backend server.
 
-Three daemons of one failure domain and backend servers that answer at once.
-Both are measured in one run, in turn, and the figures are given as they are
-seen; the ratios matter more than the times.
+Runs three daemons of one failure domain and backend servers that respond at
+once. Each round measures direct calls and then calls through the daemons. The
+ratios matter more than the times.
 """
 
 import argparse
--- a/benchmark/slopes.py
+++ b/benchmark/slopes.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Measures what a daemon's control costs against the size of the site.
+"""Measures how the cost of control in a daemon grows with the site.
 
-Each series varies one size and holds the others; the slope is the least squares
-line through its points. Then the site of two years from now is started whole,
-with stand-ins, and measured. Prints the tables of docs/CAPACITY.md and writes
-a plot of each series.
+Each series varies one size and keeps the others; its slope is that of the
+least squares line through the points. Then a site of the size expected in two
+years is started with stand-ins and measured. Prints the tables of
+docs/CAPACITY.md and writes a plot of each series.
 """
 
 import argparse
@@ -18,10 +18,13 @@
                                 "..", "tests", "support"))
 import cluster  # noqa: E402
 
+# Limits of one daemon: percent of a core, MB, and kB/s of control traffic.
 BUDGET = {"cpu_percent": 2.1, "rss_mb": 256, "kb_per_s": 6.0}
+# Limits of all daemons together on the platform's tables.
 TABLE_BUDGET = {"writes_per_s": 100, "reads_per_s": 500}
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+# Long enough that no such task ends during a measurement.
 LONG_TASK_MS = 3600000
 
 
@@ -98,7 +101,7 @@
                               "terms": terms})
 
     def generate_load(self, seconds):
-        """Keeps up the rates of starts, changes and requests."""
+        """Generates the site's rates of starts, changes and requests."""
         size = self.size
         daemons = list(self.cluster.daemons.values())
         owners = [self.cluster.daemons_in_domain(d)[0]
@@ -145,7 +148,7 @@
                       rss_mb(d),
                       (control_bytes(d) - sent[d.name]) / elapsed_s / 1000)
                      for d in daemons if is_owner[d.name] == is_owner_role]
-            # The costliest daemon of the role counts.
+            # The figure of a role is that of its most expensive daemon.
             for index, name in enumerate(BUDGET):
                 results[role + " " + name] = max((r[index] for r in costs),
                                                  default=0)
@@ -163,7 +166,7 @@
 
 
 def slope(points):
-    """Returns (slope, value at zero) of the least squares line."""
+    """Returns the slope and the intercept of the least squares line."""
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
     squared_deviations = sum((x - mean_x) ** 2 for x, _ in points)
@@ -182,13 +185,14 @@
     "requests_per_s": [0, 100, 200],
 }
 BASE = {"tasks": dict(vms=40), "starts_per_s": dict(vms=40)}
-# 520 VMs, 5,300 tasks, 210 customers over 7 domains. 480 changes a day are
-# 0.0056 a second; the starts are the peak of 150 a second over the domains.
+# The size expected in two years: 520 VMs, 5,300 tasks and 210 customers in 7
+# domains. The 480 changes a day, 0.0056 a second, are left out. The peak of
+# 150 starts a second is measured apart, as 21 a second in each domain.
 PROJECTED_SITE = dict(domains=7, daemons=2, vms=75, customers=210, tasks=757)
 
 
 def plot(path, name, results):
-    """Writes the series as a small SVG, one line a figure and role."""
+    """Writes the series as an SVG with one line for each figure."""
     figures = ["owner cpu_percent", "owner kb_per_s", "standby cpu_percent",
                "standby kb_per_s"]
     colours = ["#c33", "#36c", "#e99", "#9bd"]
@@ -255,7 +259,7 @@
         plot(os.path.join(options.plots, name + ".svg"), name, results)
     if options.only in (None, "whole"):
         whole = measure(options.build, 2 * options.seconds, **PROJECTED_SITE)
-        print_against_limits("The whole site, no starts:", whole)
+        print_against_limits("The whole site without starts:", whole)
         peak = measure(options.build, 2 * options.seconds, starts_per_s=21,
                        **PROJECTED_SITE)
         print_against_limits("The whole site, at 147 starts a second:", peak)
--- a/benchmark/takeover.py
+++ b/benchmark/takeover.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Measures how long a domain is without placements after its owner's death.
+"""Measures how long a domain starts no tasks after its owner was killed.
 
-Kills the owner while jobs and requests keep coming through the standby, and
-reads from the backend servers' own history when the next task started.
+Kills the owner while a standby receives jobs and requests, and reads the start
+of the next task from the history of the backend servers.
 """
 
 import argparse
@@ -29,7 +29,8 @@
 
 
 def measure(build):
-    """Returns seconds from the kill to the next task and to the next answer."""
+    """Returns the seconds from the kill to the next task and to the next
+    successful request."""
     with cluster.Cluster(build, domains=1, daemons=3, vms=10) as test_cluster:
         test_cluster.create_contract("load", requests=96)
         owner = test_cluster.owner("d1")
@@ -62,9 +63,9 @@
     parser.add_argument("--rounds", type=int, default=5)
     options = parser.parse_args()
     runs = [measure(options.build) for _ in range(options.rounds)]
-    for name, index in (("next task", 0), ("next answer", 1)):
+    for name, index in (("next task", 0), ("next response", 1)):
         values = [run[index] for run in runs]
-        print("%s after the owner's death: median %.2f s, from %.2f to %.2f "
+        print("%s after the owner was killed: median %.2f s, %.2f to %.2f s "
               "(%d runs)" % (name, statistics.median(values), min(values),
                              max(values), len(values)))
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Shows the whole path at work: an operator, callers, two failure domains.
+"""Demonstrates the system with an operator, callers and two failure domains.
 
 Starts a platform, backend servers and four daemons as separate processes on
-loopback, uses the command line as an operator and a caller would, and ends
-with the time line of events over all daemons. Exits with 0 only if everything
-came out as it should.
+loopback, runs the commands that an operator and a caller would use, and
+prints the timeline of events of all daemons. Exits with 0 only if every step
+had the expected result.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 
 
 class CommandLine:
-    """Runs the command line against the cluster and prints what it does."""
+    """Runs cuminroad commands against the cluster and prints their output."""
 
     def __init__(self, build, test_cluster):
         self.binary = os.path.join(build, "programs", "cuminroad")
@@ -70,7 +70,7 @@
         if '"finished"' in result.stdout:
             print("%s: %s" % (name, result.stdout.strip()))
             if '"outcome":"done"' not in result.stdout:
-                FAILURES.append(name + " did not end well")
+                FAILURES.append(name + " did not end as done")
             return
         time.sleep(0.1)
     FAILURES.append("%s did not finish: %s" % (name, result.stdout))
@@ -85,7 +85,8 @@
             print("%s runs %d tasks" % (name, tasks))
             return
         time.sleep(0.1)
-    FAILURES.append("%s does not run: %s" % (name, result.stdout))
+    FAILURES.append("%s does not run all of its tasks: %s" %
+                    (name, result.stdout))
 
 
 def submit_job(cli, name, **spec):
@@ -97,7 +98,7 @@
 
 
 def run_demo(cli):
-    print("--- an operator writes contracts")
+    print("--- an operator creates contracts")
     cli.run("contract", "create", "refuge", "--file",
             cli.write_json("refuge.json",
                            contract_terms(never_repeat=["billing"])),
@@ -132,14 +133,15 @@
     wait_for_job(cli, "render", batch)
     wait_for_job(cli, "gang", gang)
     cli.run("job", "cancel", service)
-    print("--- an operator looks")
+    print("--- an operator views the status")
     cli.run("status")
-    print("--- the time line over all daemons")
+    print("--- the timeline of all daemons")
     cli.run("timeline")
 
 
 def check_history(test_cluster):
-    """What was to run once ran once, as the backend servers saw it."""
+    """Checks in the backend servers' history that each request that must not
+    be repeated ran exactly once."""
     marks = [event["mark"] for event in test_cluster.history()
              if event["ev"] == "request_start"]
     for mark in ("shaping plan", "billed once", "planned once"):
@@ -156,7 +158,7 @@
         check_history(test_cluster)
     for failure in FAILURES:
         print("FAILED:", failure)
-    print("make run:", "failed" if FAILURES else "all of it came out right")
+    print("make run:", "failed" if FAILURES else "all steps succeeded")
     sys.exit(1 if FAILURES else 0)
 
 
--- a/tools/install-packages.sh
+++ b/tools/install-packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the Debian packages of tools/packages.txt that are missing.
+# Installs those Debian packages listed in tools/packages.txt that are missing.
 set -eu
 List=$(dirname "$0")/packages.txt
 Missing=""
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Runs clang-tidy with the checks of .clang-tidy over every source file but
+# Runs clang-tidy with the checks of .clang-tidy on every source file except
 # those that include RESTinio, whose headers take minutes to analyse.
 set -eu
 Build=${1:-build}
