--- a/tests/failure/fleet_soak.py
+++ b/tests/failure/fleet_soak.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Runs the daemons on stand-ins for the operator platform, with faults chosen
-by seed, and checks the promises to callers. Prints each seed that fails.
+"""Runs fleet trials with faults drawn from a seed: daemons with stand-ins for
+the operator platform. Prints the result of each seed.
 
 Replay one with: fleet_soak.py --build build --first SEED --seeds 1
 """
@@ -19,15 +19,18 @@
 
 def run_seed(seed, seconds):
     rng = random.Random(seed)
-    chosen = fleet_faults.draw(rng, rng.randint(2, 6), seconds)
-    names = ", ".join("%s at %.1f for %.1f" % (fault.__name__, at, length)
-                      for at, fault, length in chosen)
+    chosen = fleet_faults.draw_faults(rng, rng.randint(2, 6), seconds)
+    fault_names = ", ".join(
+        "%s at %.1f for %.1f" % (fault.__name__, start_s, duration_s)
+        for start_s, fault, duration_s in chosen)
     trial = fleet_trial.Trial(seed, daemons=rng.randint(1, 3))
-    return soak_seeds.play(seed, names, lambda: trial.run(chosen, seconds),
-                           trial.summary)
+    return soak_seeds.run_trial(seed, fault_names,
+                                lambda: trial.run(chosen, seconds),
+                                trial.summary)
 
 
 if __name__ == "__main__":
     soak_seeds.main(
         __doc__, lambda seed, options: run_seed(seed, options.seconds),
-        lambda parser: parser.add_argument("--seconds", type=float, default=10))
+        lambda parser: parser.add_argument("--seconds", type=float,
+                                           default=10))
--- a/tests/support/fleet_faults.py
+++ b/tests/support/fleet_faults.py
@@ -1,38 +1,46 @@
-"""Faults of a fleet trial: functions of the trial and a length in seconds."""
+"""Faults that a fleet trial injects.
+
+Each is a function of the fleet_trial.Trial and its duration in seconds, and
+undoes its effect at the end. Soaks print the functions in ALL by name.
+"""
 
 import random
 import signal
 import time
 
 
-def any_daemon(trial):
-    """Owners are not picked out: with two to six daemons each is hit often."""
+def random_daemon(trial):
+    """Returns any daemon.
+
+    Owners need not be selected: with two to six daemons, a random choice hits
+    them often.
+    """
     return random.choice(trial.daemons)
 
 
 def kill_daemon(trial, seconds):
-    daemon = any_daemon(trial)
-    trial.kill(daemon)
+    daemon = random_daemon(trial)
+    trial.terminate(daemon)
     time.sleep(seconds)
     trial.start(daemon)
 
 
 def stop_daemon(trial, seconds):
-    daemon = any_daemon(trial)
-    trial.kill(daemon, signal.SIGTERM)
+    daemon = random_daemon(trial)
+    trial.terminate(daemon, signal.SIGTERM)
     time.sleep(seconds / 4)
     trial.start(daemon)
 
 
 def roll_daemons(trial, seconds):
     for daemon in trial.daemons:
-        trial.kill(daemon, signal.SIGTERM)
+        trial.terminate(daemon, signal.SIGTERM)
         trial.start(daemon)
         time.sleep(seconds / len(trial.daemons))
 
 
 def freeze_daemon(trial, seconds):
-    daemon = any_daemon(trial)
+    daemon = random_daemon(trial)
     trial.signal(daemon, signal.SIGSTOP)
     time.sleep(seconds)
     trial.signal(daemon, signal.SIGCONT)
@@ -40,39 +48,44 @@
 
 def power_off_all(trial, seconds):
     for daemon in trial.daemons:
-        trial.kill(daemon)
+        trial.terminate(daemon)
     time.sleep(seconds / 4)
     for daemon in trial.daemons:
         trial.start(daemon)
 
 
 def hang_up(trial, seconds):
+    """Sends SIGHUP to each daemon in turn."""
     for daemon in trial.daemons:
         trial.signal(daemon, signal.SIGHUP)
         time.sleep(seconds / len(trial.daemons))
 
 
 def cut_links(trial, pairs, seconds, directions=("forth", "back")):
+    """Cuts the links between the (source, target) pairs for some seconds.
+
+    The direction "forth" is from source to target, "back" the other one.
+    """
     for source, target in pairs:
         trial.network.cut(source, target, directions)
     time.sleep(seconds)
     for source, target in pairs:
-        for link in trial.network.between(source, target):
+        for link in trial.network.links_between(source, target):
             link.heal()
 
 
 def cut_daemon_from_store(trial, seconds):
-    cut_links(trial, [(any_daemon(trial).name, "store")], seconds)
+    cut_links(trial, [(random_daemon(trial).name, "store")], seconds)
 
 
 def cut_daemon_one_way(trial, seconds):
-    cut_links(trial, [(any_daemon(trial).name, None)], seconds,
+    cut_links(trial, [(random_daemon(trial).name, None)], seconds,
               random.choice((("forth",), ("back",))))
 
 
 def cut_daemon_from_vms(trial, seconds):
-    name = any_daemon(trial).name
-    cut_links(trial, [(name, vm.name) for vm in trial.vms], seconds)
+    daemon_name = random_daemon(trial).name
+    cut_links(trial, [(daemon_name, vm.name) for vm in trial.vms], seconds)
 
 
 def cut_vm(trial, seconds):
@@ -80,26 +93,29 @@
 
 
 def cut_zone(trial, seconds):
+    """Partitions a zone from the other zone, the store and the advisor."""
     zone = random.choice(trial.zones)
-    inside = {each.name for each in trial.daemons + trial.vms
-              if each.zone == zone}
+    zone_members = {member.name for member in trial.daemons + trial.vms
+                    if member.zone == zone}
     pairs = [(daemon.name, target.name)
-             for daemon in trial.daemons for target in trial.daemons + trial.vms
-             if (daemon.name in inside) != (target.name in inside)]
-    pairs += [(daemon.name, platform) for daemon in trial.daemons
-              if daemon.name in inside for platform in ("store", "advisor")]
+             for daemon in trial.daemons
+             for target in trial.daemons + trial.vms
+             if (daemon.name in zone_members) != (target.name in zone_members)]
+    pairs += [(daemon.name, service) for daemon in trial.daemons
+              if daemon.name in zone_members
+              for service in ("store", "advisor")]
     cut_links(trial, pairs, seconds)
 
 
 def delay_links(trial, seconds):
-    name = any_daemon(trial).name
-    trial.network.delay(name, None, 0.2)
+    daemon_name = random_daemon(trial).name
+    trial.network.delay(daemon_name, None, 0.2)
     time.sleep(seconds)
-    trial.network.delay(name, None, 0)
+    trial.network.delay(daemon_name, None, 0)
 
 
 def reset_links(trial, seconds):
-    """Healing a cut link closes what was open on it."""
+    """Resets all connections: restoring a cut link closes them."""
     for _ in range(3):
         cut_links(trial, [(None, None)], 0.02)
         time.sleep(seconds / 3)
@@ -120,18 +136,19 @@
 
 
 def store_slow(trial, seconds):
-    trial.store.slow_s = 0.15
+    trial.store.response_delay_s = 0.15
     time.sleep(seconds)
-    trial.store.slow_s = 0
+    trial.store.response_delay_s = 0
 
 
 def store_loses_answers(trial, seconds):
-    trial.store.lose_share = 0.3
+    trial.store.lost_response_share = 0.3
     time.sleep(seconds)
-    trial.store.lose_share = 0
+    trial.store.lost_response_share = 0
 
 
 def store_forgets(trial, seconds):
+    """The store drops its change history, so that daemons must read anew."""
     for _ in range(3):
         trial.store.forget_history()
         time.sleep(seconds / 3)
@@ -142,25 +159,31 @@
     time.sleep(seconds)
 
 
-def set_on_some(trial, seconds, field, value, normal):
-    some = random.sample(trial.vms, 2)
-    for vm in some:
+def set_on_two_vms(trial, seconds, field, value, normal):
+    """Sets a field of two random VMs for some seconds."""
+    chosen = random.sample(trial.vms, 2)
+    for vm in chosen:
         setattr(vm, field, value)
     time.sleep(seconds)
-    for vm in some:
+    for vm in chosen:
         setattr(vm, field, normal)
 
 
 def vms_unhealthy(trial, seconds):
-    set_on_some(trial, seconds, "unhealthy", True, False)
+    set_on_two_vms(trial, seconds, "unhealthy", True, False)
 
 
 def tasks_stand_still(trial, seconds):
-    set_on_some(trial, seconds, "hangs", True, False)
+    """Tasks on two VMs make no progress."""
+    set_on_two_vms(trial, seconds, "hangs", True, False)
 
 
 def orders_late(trial, seconds):
-    set_on_some(trial, seconds, "late_share", 0.5, 0)
+    """Two VMs execute half of their commands late and never respond to them.
+
+    Holds, which renew the lease, are not affected.
+    """
+    set_on_two_vms(trial, seconds, "late_share", 0.5, 0)
 
 
 def change_config(trial, seconds):
@@ -176,7 +199,7 @@
        vms_unhealthy, tasks_stand_still, orders_late, change_config]
 
 
-def draw(rng, count, seconds):
-    """Faults that come in series and overlap."""
+def draw_faults(rng, count, seconds):
+    """Draws faults that may overlap, as (start, function, duration) in s."""
     return [(rng.uniform(1, seconds), rng.choice(ALL), rng.uniform(0.5, 5))
             for _ in range(count)]
--- a/tests/support/fleet_trial.py
+++ b/tests/support/fleet_trial.py
@@ -1,4 +1,9 @@
-"""One trial of the daemons on stand-ins for the operator platform."""
+"""Runs one trial of the daemons with stand-ins for the operator platform.
+
+The daemons are real processes. The store, the advisor and the VMs are
+simulated in this process, and every connection between them passes through a
+relay that faults can cut or delay.
+"""
 
 import json
 import os
@@ -18,16 +23,20 @@
 import operator_vms
 import relay
 
-SETTLE_S = 60
-CAPACITY = {"cpu": 8000, "mem_mb": 8000, "gpu": 0}
-VM_PERIOD_S = 1
+JOBS_END_TIMEOUT_S = 60
+VM_CAPACITY = {"cpu": 8000, "mem_mb": 8000, "gpu": 0}
+VM_PUBLISH_INTERVAL_S = 1
 
 
 class Daemon:
+    """A cuminroadd process and its ports."""
+
     def __init__(self, name, zone, ports):
         self.name, self.zone = name, zone
-        self.front, self.ready, self.peer, self.metrics = ports
+        (self.frontend_port, self.ready_port, self.peer_port,
+         self.metrics_port) = ports
         self.process = None
+        # Faults that overlap may start and stop the same daemon.
         self.lock = threading.Lock()
 
     def alive(self):
@@ -35,22 +44,23 @@
 
 
 class Trial:
-    """Two zones with daemons and VMs, all of whose links can be cut."""
+    """Daemons and VMs in two zones, with the load on them."""
 
     zones = ("za", "zb")
 
     def __init__(self, seed, daemons=2, vms=3):
         self.rng = random.Random(seed)
         self.directory = tempfile.mkdtemp(prefix="cuminroad-fleet-")
-        self.ports = cluster.Ports()
+        self.ports = cluster.PortBlock()
         self.network = relay.Network()
         self.store = operator_store.Store()
-        self.world = operator_vms.World("svc", seed)
-        common = {"host": "h", "service": "svc", "attempts": 3, "stretch": 2.0,
-                  "target_latency_ms": 500, "timeout_ms": 3000}
+        self.simulation = operator_vms.VmSimulation("svc", seed)
+        queue_settings = {"host": "h", "service": "svc", "attempts": 3,
+                          "stretch": 2.0, "target_latency_ms": 500,
+                          "timeout_ms": 3000}
         self.queues = {
-            "urgent": {**common, "priority": 0, "path_prefix": "/u/"},
-            "advised": {**common, "priority": 1, "path_prefix": "/a/",
+            "urgent": {**queue_settings, "priority": 0, "path_prefix": "/u/"},
+            "advised": {**queue_settings, "priority": 1, "path_prefix": "/a/",
                         "advice": {"decision_ms": 20, "each_ms": 0.1,
                                    "valid_for_ms": 1500}}}
         self.version = 0
@@ -61,51 +71,54 @@
             for number in range(daemons):
                 self.daemons.append(Daemon(
                     "%s-%d" % (zone, number), zone,
-                    [self.ports.take() for _ in range(4)]))
-        self.connect()
-        self.load = fleet_load.Load(self, random.Random(seed + 1))
-        self.dark_until = {}
+                    [self.ports.allocate() for _ in range(4)]))
+        self.connect_daemons()
+        self.load = fleet_load.JobLoad(self, random.Random(seed + 1))
 
     def add_vm(self, name, zone):
-        vm = operator_vms.Vm(self.world, name, zone, CAPACITY, zone)
-        vm.port = self.ports.take()
-        self.world.vms[name] = vm
+        vm = operator_vms.Vm(self.simulation, name, zone, VM_CAPACITY, zone)
+        vm.port = self.ports.allocate()
+        self.simulation.vms[name] = vm
         self.vms.append(vm)
         operator_servers.serve_vm(vm)
 
-    def connect(self):
-        advisor = self.ports.take()
-        operator_servers.serve_advisor(advisor, self.world)
+    def connect_daemons(self):
+        """Opens a relay for each connection and writes the settings."""
+        advisor_port = self.ports.allocate()
+        operator_servers.serve_advisor(advisor_port, self.simulation)
         for daemon in self.daemons:
-            store = self.ports.take()
-            operator_servers.serve_store(store, self.store, daemon.name)
-            link = lambda name, port: self.network.link(daemon.name, name, port)
-            view = {vm.port: link(vm.name, vm.port) for vm in self.vms}
-            view.update((other.peer, link(other.name, other.peer))
-                        for other in self.daemons if other is not daemon)
-            self.store.views[daemon.name] = view
-            self.write_settings(daemon, link("store", store),
-                                link("advisor", advisor))
-
-    def write_settings(self, daemon, store, advisor):
-        address = "127.0.0.1:%d"
+            store_port = self.ports.allocate()
+            operator_servers.serve_store(store_port, self.store, daemon.name)
+            link = lambda name, port: self.network.add_link(
+                daemon.name, name, port)
+            port_map = {vm.port: link(vm.name, vm.port) for vm in self.vms}
+            port_map.update(
+                (other.peer_port, link(other.name, other.peer_port))
+                for other in self.daemons if other is not daemon)
+            self.store.port_maps[daemon.name] = port_map
+            self.write_settings(daemon, link("store", store_port),
+                                link("advisor", advisor_port))
+
+    def write_settings(self, daemon, store_port, advisor_port):
+        loopback = "127.0.0.1:%d"
         settings = {
             "node": daemon.name, "zone": daemon.zone, "ip": "127.0.0.1",
-            "listen": {"front": address % daemon.front,
-                       "ready": address % daemon.ready},
-            "port_range": [daemon.peer, daemon.metrics],
-            "limits": {"cpu_share": 0.25}, "advice": address % advisor,
+            "listen": {"front": loopback % daemon.frontend_port,
+                       "ready": loopback % daemon.ready_port},
+            "port_range": [daemon.peer_port, daemon.metrics_port],
+            "limits": {"cpu_share": 0.25}, "advice": loopback % advisor_port,
             "bounds": {"max_hold_ms": operator_vms.MAX_LEASE_MS,
                        "remote_factor": 1.5, "status_s": 120, "grace_s": 6},
-            "platform": {"address": address % store}}
-        with open(self.path(daemon, "json"), "w") as out:
-            json.dump(settings, out)
+            "platform": {"address": loopback % store_port}}
+        with open(self.path(daemon, "json"), "w") as file:
+            json.dump(settings, file)
 
-    def path(self, daemon, kind):
-        return os.path.join(self.directory, "%s.%s" % (daemon.name, kind))
+    def path(self, daemon, extension):
+        return os.path.join(self.directory, "%s.%s" % (daemon.name, extension))
 
-    def rng_daemon(self):
-        alive = [each for each in self.daemons if each.alive()]
+    def random_daemon(self):
+        """Returns a daemon that is alive, or any if none is."""
+        alive = [daemon for daemon in self.daemons if daemon.alive()]
         return random.choice(alive or self.daemons)
 
     def start(self, daemon):
@@ -120,23 +133,28 @@
                     env={**os.environ,
                          "CUMINROAD_CONFIG": self.path(daemon, "json")})
 
-    def kill(self, daemon, number=signal.SIGKILL):
+    def terminate(self, daemon, signal_number=signal.SIGKILL):
+        """Sends the signal and waits until the daemon has exited.
+
+        A daemon that ignores the signal for 6 s is killed.
+        """
         with daemon.lock:
             if daemon.alive():
-                daemon.process.send_signal(number)
-                if number != signal.SIGKILL:
+                daemon.process.send_signal(signal_number)
+                if signal_number != signal.SIGKILL:
                     try:
                         daemon.process.wait(6)
                     except subprocess.TimeoutExpired:
                         daemon.process.kill()
                 daemon.process.wait()
 
-    def signal(self, daemon, number):
+    def signal(self, daemon, signal_number):
         with daemon.lock:
             if daemon.alive():
-                daemon.process.send_signal(number)
+                daemon.process.send_signal(signal_number)
 
     def write_config(self):
+        """Writes the operator's configuration under a new version."""
         self.version += self.rng.randint(1, 5)
         routes = [{"name": name, **queue}
                   for name, queue in self.queues.items()]
@@ -144,45 +162,51 @@
             {"version": self.version, "routes": routes,
              "services": [{"name": "svc"}], "limits": {}}).encode())
 
-    def list_vms(self):
-        """VMs keep their entries up to date."""
-        while not self.world.closed:
+    def publish_vms(self):
+        """Writes the VMs' entries to the store until the trial ends."""
+        while not self.simulation.closed:
             for vm in self.vms:
                 self.store.put("servers", vm.name,
                                json.dumps(vm.entry()).encode())
-            time.sleep(VM_PERIOD_S)
+            time.sleep(VM_PUBLISH_INTERVAL_S)
+
+    def daemons_ready(self):
+        return all(
+            cluster.call(daemon.ready_port, "GET", "/v1/ready")[0] == 200
+            for daemon in self.daemons)
 
-    def ready(self):
-        return all(cluster.call(daemon.ready, "GET", "/v1/ready")[0] == 200
-                   for daemon in self.daemons)
+    def run(self, faults, seconds=10, jobs_per_s=6):
+        """Runs the load under the faults, then checks the history.
 
-    def run(self, faults, seconds=10, per_second=6):
-        """faults: (at, function, seconds), which may overlap."""
+        faults: tuples of the start in seconds after the load began, the fault
+        function, and its duration in seconds. Faults may overlap.
+        """
         try:
             self.write_config()
-            threading.Thread(target=self.world.run, daemon=True).start()
-            threading.Thread(target=self.list_vms, daemon=True).start()
+            threading.Thread(target=self.simulation.run, daemon=True).start()
+            threading.Thread(target=self.publish_vms, daemon=True).start()
             for daemon in self.daemons:
                 self.start(daemon)
-            cluster.wait_until(self.ready, 20, "daemons are ready")
-            threads = [threading.Timer(at, fault, (self, length))
-                       for at, fault, length in faults]
-            for each in threads:
-                each.start()
-            self.load.run(seconds, per_second)
-            for each in threads:
-                each.join()
-            self.heal()
-            problems = self.settle()
+            cluster.wait_until(self.daemons_ready, 20, "daemons are ready")
+            timers = [threading.Timer(start_s, function, (self, duration_s))
+                      for start_s, function, duration_s in faults]
+            for timer in timers:
+                timer.start()
+            self.load.run(seconds, jobs_per_s)
+            for timer in timers:
+                timer.join()
+            self.clear_faults()
+            violations = self.finish_and_check()
         finally:
             self.close()
-        if problems:
-            raise AssertionError("%d problems, logs in %s:\n%s" % (
-                len(problems), self.directory, "\n".join(problems[:10])))
+        if violations:
+            raise AssertionError("%d violations, logs in %s:\n%s" % (
+                len(violations), self.directory, "\n".join(violations[:10])))
         shutil.rmtree(self.directory)
 
-    def heal(self):
-        self.store.busy, self.store.slow_s, self.store.lose_share = False, 0, 0
+    def clear_faults(self):
+        (self.store.busy, self.store.response_delay_s,
+         self.store.lost_response_share) = False, 0, 0
         self.network.heal()
         for vm in self.vms:
             vm.unhealthy, vm.hangs, vm.late_share = False, False, 0
@@ -190,24 +214,27 @@
             self.signal(daemon, signal.SIGCONT)
             self.start(daemon)
 
-    def settle(self):
-        end = time.monotonic() + SETTLE_S
+    def finish_and_check(self):
+        """Waits until all jobs have ended; returns the violations."""
+        deadline = time.monotonic() + JOBS_END_TIMEOUT_S
         for thread in self.load.threads:
-            thread.join(max(end - time.monotonic(), 0))
+            thread.join(max(deadline - time.monotonic(), 0))
         self.load.stopped = True
-        with self.world.lock:
-            history, jobs = list(self.world.history), dict(self.world.jobs)
-        return (fleet_checker.check_one_run(history) +
-                fleet_checker.check_room(history, self.vms) +
-                fleet_checker.check_order(history, jobs) +
-                fleet_checker.check_labels(history, jobs, self.vms) +
-                fleet_checker.check_outcomes(history, self.load.calls, jobs))
+        with self.simulation.lock:
+            history, jobs = (list(self.simulation.history),
+                             dict(self.simulation.jobs))
+        return (fleet_checker.check_exclusive_runs(history) +
+                fleet_checker.check_vm_capacity(history, self.vms) +
+                fleet_checker.check_step_order(history, jobs) +
+                fleet_checker.check_vm_labels(history, jobs, self.vms) +
+                fleet_checker.check_reported_outcomes(
+                    history, self.load.calls, jobs))
 
     def close(self):
-        self.world.closed = True
+        self.simulation.closed = True
         for daemon in self.daemons:
             self.signal(daemon, signal.SIGCONT)
-            self.kill(daemon)
+            self.terminate(daemon)
         self.ports.close()
 
     def summary(self):
@@ -216,4 +243,4 @@
             state = "refused" if call["refused"] else call["state"]
             states[state] = states.get(state, 0) + 1
         return "%s; %d runs" % (states, sum(
-            event["what"] == "start" for event in self.world.history))
+            event["what"] == "start" for event in self.simulation.history))
--- a/tests/support/operator_servers.py
+++ b/tests/support/operator_servers.py
@@ -1,4 +1,4 @@
-"""HTTP servers of the stand-ins for the operator platform."""
+"""HTTP servers for the stand-ins of the operator platform."""
 
 import json
 import random
@@ -7,24 +7,27 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from urllib.parse import parse_qsl, urlsplit
 
-ADVICE_S = 0.02
-TICKET_S = 1.5
+ADVICE_DELAY_S = 0.02
+TICKET_LIFETIME_S = 1.5
 
 
-def serve(port, answer):
-    """answer(method, path, query, headers, body) returns (status, body), or
-    None to close the connection without an answer."""
+def start_server(port, handle):
+    """Serves HTTP on a loopback port, on threads in the background.
+
+    handle(method, path, query, headers, body) returns (status, body), or None
+    to close the connection without a response.
+    """
 
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
         disable_nagle_algorithm = True
         wbufsize = -1
 
-        def handle_one(self):
+        def handle_request(self):
             parts = urlsplit(self.path)
             size = int(self.headers.get("Content-Length", 0))
             text = self.rfile.read(size)
-            result = answer(self.command, parts.path,
+            result = handle(self.command, parts.path,
                             dict(parse_qsl(parts.query)), self.headers,
                             json.loads(text) if text else {})
             if result is None:
@@ -38,7 +41,7 @@
             self.end_headers()
             self.wfile.write(data)
 
-        do_GET = do_POST = handle_one
+        do_GET = do_POST = handle_request
 
         def log_message(self, *_):
             pass
@@ -48,7 +51,7 @@
         request_queue_size = 64
 
         def handle_error(self, request, client_address):
-            # Daemons are killed and links are cut while answers are written.
+            # Writes fail when a daemon is killed or a link is cut.
             pass
 
     server = Server(("127.0.0.1", port), Handler)
@@ -56,69 +59,82 @@
     return server
 
 
-def serve_store(port, store, reader):
-    def answer(_, path, query, headers, body):
+def serve_store(port, store, daemon_name):
+    """Serves the store to one daemon."""
+    def handle(_, path, query, headers, body):
         del headers
         if store.busy:
             return 503, {}
-        if store.slow_s:
-            time.sleep(store.slow_s)
-        result = store.answer(reader, path, query, body)
-        if path == "/v1/rows-tx" and random.random() < store.lose_share:
+        if store.response_delay_s:
+            time.sleep(store.response_delay_s)
+        result = store.handle(daemon_name, path, query, body)
+        if (path == "/v1/rows-tx" and
+                random.random() < store.lost_response_share):
             return None
         return result
-    return serve(port, answer)
+    return start_server(port, handle)
 
 
 def serve_vm(vm):
-    world = vm.world
+    """Serves a VM on its port.
+
+    A hold is a long poll: it returns when a run has ended or after wait_ms.
+    A VM that restarts while it handles a command does not respond.
+    """
+    simulation = vm.simulation
 
-    def carry_out(path, body):
-        with world.lock:
-            return vm.order(path, body)
+    def execute(path, body):
+        with simulation.lock:
+            return vm.handle(path, body)
 
-    def answer(_, path, query, headers, body):
+    def handle(_, path, query, headers, body):
         del query
         if vm.unhealthy:
             return 503, {}
         if headers.get("Expected-Instance") != vm.name:
             return 421, {}
-        if path != "/v1/hold" and world.random.random() < vm.late_share:
-            # Carried out after newer orders, and never answered.
-            threading.Timer(world.random.uniform(0.5, 4), carry_out,
+        if path != "/v1/hold" and simulation.rng.random() < vm.late_share:
+            # Executed after newer commands, and without a response.
+            threading.Timer(simulation.rng.uniform(0.5, 4), execute,
                             (path, body)).start()
             time.sleep(5)
             return None
-        wait = body.get("wait_ms", 0) / 1000
-        with world.lock:
-            born, first = vm.born, vm.next_end
-            result = vm.order(path, body)
-            end = time.monotonic() + wait
-            while (result[0] == 200 and vm.born == born and
-                   vm.next_end == first and time.monotonic() < end):
-                world.ends.wait(end - time.monotonic())
+        wait_s = body.get("wait_ms", 0) / 1000
+        with simulation.lock:
+            incarnation, first_end_number = vm.incarnation, vm.next_end_number
+            result = vm.handle(path, body)
+            deadline = time.monotonic() + wait_s
+            while (result[0] == 200 and vm.incarnation == incarnation and
+                   vm.next_end_number == first_end_number and
+                   time.monotonic() < deadline):
+                simulation.run_ended.wait(deadline - time.monotonic())
             if path == "/v1/hold" and result[0] == 200:
-                result = 200, vm.lists()
-            return result if vm.born == born else None
-    return serve(vm.port, answer)
+                result = 200, vm.status()
+            return result if vm.incarnation == incarnation else None
+    return start_server(vm.port, handle)
+
 
+def serve_advisor(port, simulation):
+    """Serves an advisor that allows each step on a fixed subset of the VMs.
 
-def serve_advisor(port, world):
-    """Allows each step on many VMs, always the same, one of a zone at least."""
-    turns = {}
+    The subset has at least one VM of each zone.
+    """
+    step_locks = {}
 
-    def allowed(step, vm):
+    def is_allowed(step, vm):
         return (random.Random(step + vm).random() < 0.5 or
                 int(vm.rsplit("-", 1)[1]) == random.Random(step).randrange(3))
 
-    def answer(_, path, query, headers, body):
+    def handle(_, path, query, headers, body):
         del path, query, headers
-        with turns.setdefault(body["step"], threading.Lock()):
-            time.sleep(ADVICE_S)
-        with world.lock:
-            good = [[name, "%s/%d/%.3f" % (body["step"], world.vms[name].born,
-                                           time.monotonic() + TICKET_S)]
-                    for name in body["workers"]
-                    if name in world.vms and allowed(body["step"], name)]
-        return 200, {"good": good}
-    return serve(port, answer)
+        with step_locks.setdefault(body["step"], threading.Lock()):
+            time.sleep(ADVICE_DELAY_S)
+        with simulation.lock:
+            allowed_vms = [
+                [name, "%s/%d/%.3f" % (body["step"],
+                                       simulation.vms[name].incarnation,
+                                       time.monotonic() + TICKET_LIFETIME_S)]
+                for name in body["workers"]
+                if name in simulation.vms and is_allowed(body["step"], name)]
+        return 200, {"good": allowed_vms}
+    return start_server(port, handle)
