--- a/programs/cuminroadd/FleetMain.cpp
+++ b/programs/cuminroadd/FleetMain.cpp
@@ -7,9 +7,9 @@
 #include "cuminroad/base/EventLog.h"
 #include "cuminroad/fleet/FleetDaemon.h"
 #include "cuminroad/net/LoopHttp.h"
-#include "cuminroad/platform/FrontGateway.h"
+#include "cuminroad/platform/JobApiHandler.h"
 #include "cuminroad/platform/PlatformAdvisor.h"
-#include "cuminroad/platform/PlatformRecords.h"
+#include "cuminroad/platform/PlatformRecordDecoder.h"
 #include "cuminroad/platform/PlatformStore.h"
 #include "cuminroad/platform/PlatformVmCalls.h"
 #include "cuminroad/pool/SystemWallClock.h"
@@ -47,11 +47,11 @@
   PlatformStore Store(Config.StoreAddress, *Client, Time);
   PlatformVmCalls Vms(*Client);
   PlatformAdvisor Advisor(Config.AdvisorAddress, *Client);
-  const PlatformRecords Formats;
+  const PlatformRecordDecoder Formats;
   const auto Process =
       makeFleetDaemon(FleetParts{Config.Fleet, Time, Wall, Events, *Home,
                                  *Client, Store, Vms, Advisor, Formats},
-                      makeFrontGateway);
+                      makeJobApiHandler);
   Process->start();
   std::thread Waiter([&] {
     waitForStop(Signals, Events, Config.Fleet.Name);
--- a/programs/cuminroadd/main.cpp
+++ b/programs/cuminroadd/main.cpp
@@ -97,7 +97,7 @@
     Line.parse(Argc, Argv);
     std::string Path = File.getValue();
     if (OnPlatform.getValue()) {
-      const char *Given = std::getenv(SettingsVariable);
+      const char *Given = std::getenv(SettingsPathVariable);
       if (Path.empty() && Given != nullptr)
         Path = Given;
       return checkAndServe(Path, CheckOnly.getValue(), parsePlatformSettings,
