--- a/packages/net/include/cuminroad/net/Encoding.h
+++ b/packages/net/include/cuminroad/net/Encoding.h
@@ -9,9 +9,9 @@
 namespace cuminroad {
 
 std::string encodeBase64(std::string_view Bytes);
-/// \returns the bytes, or MalformedInput.
+/// \returns the decoded bytes, or MalformedInput.
 Result<std::string> decodeBase64(std::string_view Text);
-/// Escapes \p Text for the query of a URL.
+/// Percent-encodes \p Text for use in the query of a URL.
 std::string escapeQuery(std::string_view Text);
 
 } // namespace cuminroad
--- a/packages/net/include/cuminroad/net/HttpClient.h
+++ b/packages/net/include/cuminroad/net/HttpClient.h
@@ -12,7 +12,7 @@
 
 namespace cuminroad {
 
-/// A request to send.
+/// A request for an HttpClient to send.
 struct HttpCall {
   std::string Method = "GET";
   std::string Url;
@@ -20,22 +20,25 @@
   std::string Body;
   milliseconds ConnectTimeout{1000};
   milliseconds Timeout{5000};
-  /// The bytes must not reach a server twice. Such a call opens a connection
-  /// of its own, which is closed after it: libcurl silently resends a request
-  /// when a reused connection closes before the first byte of the answer.
+  /// The request must not reach a server twice. It is sent on a new connection,
+  /// which is closed after the response: libcurl silently resends a request if
+  /// a reused connection closes before the first byte of the response.
   bool NeverResend = false;
-  /// The id that the answer's X-Request-Id must repeat; "" checks nothing.
+  /// Sent as the X-Request-Id header, which the response must repeat if it has
+  /// one; "" sends and checks none.
   std::string RequestId;
 };
 
-/// What a call came to. Failures are ConnectFailed (certainly nothing was
-/// sent), and Timeout, AnswerLost, AnswerIncomplete, AnswerMismatched (the
-/// server may have acted).
+/// The response to a call or its error: ConnectFailed means that nothing was
+/// sent; after Timeout, AnswerLost, AnswerIncomplete and AnswerMismatched the
+/// server may have acted on the request.
 using HttpResult = Result<HttpResponse>;
-/// Called once, on the client's thread.
+/// Called exactly once, on the client's thread, unless the client is destroyed
+/// before.
 using HttpCallback = std::function<void(HttpResult)>;
 
-/// Bytes that a client sent and received, with HTTP headers.
+/// Bytes that a client sent and received, including HTTP headers, and the
+/// number of calls that it started.
 struct HttpTraffic {
   std::uint64_t BytesSent = 0;
   std::uint64_t BytesReceived = 0;
@@ -45,14 +48,16 @@
 /// Sends HTTP/1.1 calls without blocking the caller.
 class HttpClient {
 public:
-  /// Ends open calls; their callbacks are not called.
+  /// Aborts calls in progress without calling their callbacks.
   virtual ~HttpClient() = default;
-  /// Queues \p Call; safe from any thread.
+  /// Sends \p Call in the background. Safe from any thread for a client with a
+  /// thread of its own.
   virtual void send(HttpCall Call, HttpCallback Done) = 0;
   virtual HttpTraffic traffic() const = 0;
 };
 
-/// Starts a client with one thread of its own.
+/// \returns a client that has a thread of its own, on which callbacks are
+/// called.
 std::unique_ptr<HttpClient> makeHttpClient();
 
 } // namespace cuminroad
--- a/packages/net/include/cuminroad/net/HttpMessage.h
+++ b/packages/net/include/cuminroad/net/HttpMessage.h
@@ -9,27 +9,27 @@
 
 namespace cuminroad {
 
-/// Header names and values, in the order in which they were sent.
+/// Header names and values, in the order of the message.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// \returns the value of the first header called \p Name, without regard to
-/// case, or "" where there is none. The view lives as long as \p Headers.
+/// \returns the value of the first header called \p Name, ignoring case, or ""
+/// if there is none. The view is valid as long as \p Headers is unchanged.
 std::string_view findHeader(const HttpHeaders &Headers, std::string_view Name);
 
 /// A request that a server received.
 struct HttpRequest {
   std::string Method;
-  /// Decoded path without the query.
+  /// Percent-decoded path without the query.
   std::string Path;
   std::map<std::string, std::string> Query;
   HttpHeaders Headers;
   std::string Body;
 
-  /// \returns the query's value for \p Name, or "".
+  /// \returns the value of the query parameter \p Name, or "".
   std::string_view query(std::string_view Name) const;
 };
 
-/// A whole answer.
+/// A complete HTTP response.
 struct HttpResponse {
   int Status = 200;
   HttpHeaders Headers;
--- a/packages/net/include/cuminroad/net/HttpServer.h
+++ b/packages/net/include/cuminroad/net/HttpServer.h
@@ -9,35 +9,37 @@
 
 namespace cuminroad {
 
-/// Sends the answer to one request. Must be called exactly once; from any
-/// thread, also after the handler returned.
+/// Sends the response to one request. Must be called exactly once, from any
+/// thread, also after the handler has returned.
 using HttpResponder = std::function<void(HttpResponse)>;
-/// Called on the server's thread for each request.
+/// Called for each request, on the server's thread.
 using HttpHandler = std::function<void(HttpRequest, HttpResponder)>;
 
-/// Where a server listens and what it accepts.
+/// The address on which a server listens, and its limits.
 struct HttpServerOptions {
   std::string Address;
   int Port = 0;
-  /// Larger bodies are answered with 413.
+  /// Requests with larger bodies are refused with status 413.
   std::size_t MaxBodyBytes = 1 << 20;
 };
 
-/// An HTTP/1.1 server with one thread of its own.
+/// A running HTTP/1.1 server.
 class HttpServer {
 public:
-  /// Stops without waiting for answers; call drain() first to keep them.
+  /// Stops at once and drops responses that are not sent; call drain() before
+  /// to send them.
   virtual ~HttpServer() = default;
-  /// Tells callers to close their connections after the next answer.
+  /// Adds "Connection: close" to all further responses.
   virtual void announceClose() = 0;
-  /// Closes the listening socket and waits until each accepted request has its
-  /// answer on the wire.
+  /// Closes the listening socket, and waits until the responses to all accepted
+  /// requests are sent. A server on a loop does not wait.
   virtual void drain() = 0;
-  /// \returns the number of requests without an answer.
+  /// \returns the number of requests whose response is not sent yet.
   virtual std::size_t inFlight() const = 0;
 };
 
-/// Starts a server; throws std::exception where the port can't be opened.
+/// Starts a server with a thread of its own. Throws std::exception if the port
+/// can't be opened.
 std::unique_ptr<HttpServer> startHttpServer(const HttpServerOptions &Options,
                                             HttpHandler Handler);
 
--- a/packages/net/include/cuminroad/net/Loop.h
+++ b/packages/net/include/cuminroad/net/Loop.h
@@ -8,24 +8,27 @@
 
 namespace cuminroad {
 
-/// A single thread's queue of work. What runs on it needs no locks.
+/// An event loop that runs callbacks one at a time on a single thread, so that
+/// objects used only by its callbacks need no locks.
 class Loop {
 public:
   using Work = std::function<void()>;
 
   virtual ~Loop() = default;
-  /// Runs \p Callback soon, after what was posted before; safe from any thread.
+  /// Runs \p Callback after all callbacks that were posted before; safe from
+  /// any thread.
   virtual void post(Work Callback) = 0;
-  /// Runs \p Callback after \p Delay; safe from any thread.
+  /// Runs \p Callback once \p Delay has passed; safe from any thread.
   virtual void after(milliseconds Delay, Work Callback) = 0;
 };
 
-/// A loop that has to be given a thread by calling run().
+/// A loop whose callbacks run on the thread that calls run().
 class RunnableLoop : public Loop {
 public:
-  /// Runs posted work until stop() is called.
+  /// Runs callbacks until stop() is called.
   virtual void run() = 0;
-  /// Makes run() return soon; safe from any thread.
+  /// Makes run() return after the callback that is running; safe from any
+  /// thread.
   virtual void stop() = 0;
 };
 
--- a/packages/net/src/AsioLoop.h
+++ b/packages/net/src/AsioLoop.h
@@ -8,8 +8,8 @@
 
 namespace cuminroad {
 
-/// The only implementation of RunnableLoop; HTTP clients and servers on a loop
-/// share its io_context.
+/// RunnableLoop on Asio, and its only implementation. HTTP clients and servers
+/// on a loop use its io_context.
 class AsioLoop final : public RunnableLoop {
 public:
   AsioLoop() : Guard_(asio::make_work_guard(Context_)) {}
@@ -22,6 +22,7 @@
 
 private:
   asio::io_context Context_{1};
+  /// Keeps run() from returning while there is no work.
   asio::executor_work_guard<asio::io_context::executor_type> Guard_;
 };
 
--- a/packages/net/src/CurlHttpClient.cpp
+++ b/packages/net/src/CurlHttpClient.cpp
@@ -15,6 +15,7 @@
 constexpr int PollTimeoutMs = 1000;
 constexpr long MaxIdleConnections = 1024;
 
+/// Runs libcurl's multi interface on a thread of its own.
 class CurlHttpClient final : public HttpClient {
 public:
   CurlHttpClient() : Multi_(curl_multi_init()) {
--- a/packages/net/src/CurlTransfer.cpp
+++ b/packages/net/src/CurlTransfer.cpp
@@ -4,11 +4,12 @@
 
 namespace {
 
-/// An idle connection that a server is about to close is better not reused.
+/// Connections that were idle for longer are not reused, since the server may
+/// be about to close them.
 constexpr long MaxIdleSeconds = 30;
 
-/// Whether the end of the body is marked: a body that only the connection's
-/// end delimits can't be told from one that was cut off.
+/// \returns whether the message itself marks the end of its body. A body that
+/// ends when the connection closes can't be told from a truncated one.
 bool hasDelimitedBody(const HttpResponse &Response) {
   return !findHeader(Response.Headers, "Content-Length").empty() ||
          !findHeader(Response.Headers, "Transfer-Encoding").empty() ||
@@ -33,7 +34,8 @@
 
 void CurlTransfer::parseHeaderLine(std::string_view Line) {
   if (Line.starts_with("HTTP/")) {
-    // A 100 Continue precedes the real answer's headers.
+    // A status line starts a new response: drops headers of a preceding interim
+    // response such as 100 Continue.
     Response_.Headers.clear();
     return;
   }
@@ -54,8 +56,9 @@
   if (!Call_.RequestId.empty())
     HeaderList_ = curl_slist_append(
         HeaderList_, ("X-Request-Id: " + Call_.RequestId).c_str());
-  // Waiting for "100 Continue" would delay larger bodies by a second; the
-  // other two only add bytes to small calls.
+  // An empty value removes a header that libcurl adds by itself. With "Expect"
+  // larger bodies would wait up to a second for "100 Continue"; the other two
+  // only add bytes to small calls.
   HeaderList_ = curl_slist_append(HeaderList_, "Expect:");
   HeaderList_ = curl_slist_append(HeaderList_, "Accept:");
   if (findHeader(Call_.Headers, "Content-Type").empty())
@@ -82,8 +85,8 @@
   curl_easy_setopt(Handle, CURLOPT_PROXY, "");
   curl_easy_setopt(Handle, CURLOPT_MAXAGE_CONN, MaxIdleSeconds);
   curl_easy_setopt(Handle, CURLOPT_PROTOCOLS_STR, "http,https");
-  // libcurl keeps idle connections by the hundred, and a server may take only
-  // so many: one that is opened for a call is closed after it.
+  // A connection opened for one call is closed after it: libcurl would keep
+  // hundreds of them idle, and a server may limit its connections.
   const long UseOwnConnection = Call_.NeverResend ? 1 : 0;
   curl_easy_setopt(Handle, CURLOPT_FRESH_CONNECT, UseOwnConnection);
   curl_easy_setopt(Handle, CURLOPT_FORBID_REUSE, UseOwnConnection);
--- a/packages/net/src/CurlTransfer.h
+++ b/packages/net/src/CurlTransfer.h
@@ -10,7 +10,7 @@
 
 namespace cuminroad {
 
-/// One HTTP call in libcurl's hands.
+/// One HTTP call that libcurl carries out, with the response received so far.
 class CurlTransfer {
 public:
   CurlTransfer(HttpCall Call, HttpCallback Done)
@@ -19,9 +19,11 @@
   CurlTransfer(const CurlTransfer &) = delete;
   CurlTransfer &operator=(const CurlTransfer &) = delete;
 
-  /// Sets all options of the call on \p Handle. The transfer must outlive it.
+  /// Sets the call's options on \p Handle. This object must live until the
+  /// handle is removed from libcurl's multi handle.
   void configure(CURL *Handle);
-  /// Adds the bytes of the ended call to \p Traffic and judges its result.
+  /// Adds the bytes sent and received to \p Traffic.
+  /// \returns the result of the transfer, which has ended with \p Code.
   HttpResult takeResult(CURL *Handle, CURLcode Code, HttpTraffic &Traffic);
   void complete(HttpResult Outcome) { Done_(std::move(Outcome)); }
 
@@ -39,7 +41,7 @@
   curl_slist *HeaderList_ = nullptr;
 };
 
-/// Easy handles that are kept for the next call.
+/// libcurl easy handles that are reused for later calls.
 class CurlHandlePool {
 public:
   CurlHandlePool() = default;
--- a/packages/net/src/LoopHttpClient.cpp
+++ b/packages/net/src/LoopHttpClient.cpp
@@ -1,5 +1,5 @@
-// libcurl's multi interface driven by the loop's io_context: no thread hop for
-// each call, which is most of the cost of a small one.
+// Drives libcurl's multi interface from the loop's io_context. Calls need no
+// switch to another thread, which would be most of the cost of a small call.
 #include "cuminroad/net/LoopHttp.h"
 
 #include <unordered_map>
@@ -16,12 +16,13 @@
 
 constexpr long MaxIdleConnections = 1024;
 
-/// A socket that libcurl wants to be told about.
+/// A socket on which libcurl waits for events.
 struct SocketWatch {
   explicit SocketWatch(asio::io_context &Context) : Descriptor(Context) {}
   asio::posix::stream_descriptor Descriptor;
-  /// CURL_POLL_IN, CURL_POLL_OUT or both.
+  /// The events that libcurl waits for: CURL_POLL_IN, CURL_POLL_OUT or both.
   int RequestedEvents = 0;
+  /// Whether an asynchronous wait is pending.
   bool AwaitsRead = false;
   bool AwaitsWrite = false;
 };
@@ -76,7 +77,7 @@
     if (Events == CURL_POLL_REMOVE) {
       if (Found == Watches_.end())
         return;
-      // libcurl closes the socket itself.
+      // libcurl closes the socket itself, so the descriptor must not.
       Found->second->Descriptor.release();
       Watches_.erase(Found);
       return;
--- a/packages/net/src/NngPeerSocket.cpp
+++ b/packages/net/src/NngPeerSocket.cpp
@@ -21,6 +21,7 @@
     throw std::runtime_error(std::string(Action) + ": " + nng_strerror(Code));
 }
 
+/// Receives on one pull socket, and sends on a push socket for each peer.
 class NngPeerSocket final : public PeerSocket {
 public:
   NngPeerSocket(const std::string &Address, PeerHandler Handler)
@@ -33,7 +34,7 @@
         nng_listen(PullSocket_, ("tcp://" + Address).c_str(), nullptr, 0),
         "listen for peers");
     throwOnError(nng_aio_alloc(&ReceiveOperation_, receiveCallback, this),
-                 "allocate receive");
+                 "allocate receive operation");
     nng_recv_aio(PullSocket_, ReceiveOperation_);
   }
 
--- a/packages/net/src/RestinioHttpServer.cpp
+++ b/packages/net/src/RestinioHttpServer.cpp
@@ -1,5 +1,5 @@
-// The only source file that includes RESTinio, whose headers are slow to
-// compile.
+// HTTP servers on RESTinio. No other file includes its server headers, which
+// are slow to compile.
 #include "cuminroad/net/HttpServer.h"
 #include "cuminroad/net/LoopHttp.h"
 
@@ -16,19 +16,19 @@
 namespace {
 
 constexpr auto DrainPollInterval = std::chrono::milliseconds(10);
-/// Time for the last answers to leave the socket buffers.
+/// Time that the last responses get to leave the socket buffers.
 constexpr auto SocketFlushTime = std::chrono::milliseconds(200);
 constexpr auto IdleConnectionTimeout = std::chrono::seconds(60);
 constexpr auto HandlingTimeout = std::chrono::seconds(120);
 constexpr std::size_t MaxPipelinedRequests = 1;
-/// A body above the server's limit but below this gets an answer; above it
-/// the connection is closed.
+/// Larger bodies are not read, and their connection is closed. Bodies between
+/// HttpServerOptions::MaxBodyBytes and this are read and refused with 413.
 constexpr std::size_t MaxReadBodyBytes = 96 << 20;
 
 HttpRequest convertRequest(const restinio::request_t &RestinioRequest) {
   HttpRequest Request;
   Request.Method = RestinioRequest.header().method().c_str();
-  // The default traits refuse a slash.
+  // The default traits reject an unescaped slash.
   Request.Path = restinio::utils::unescape_percent_encoding<
       restinio::utils::relaxed_unescape_traits>(
       RestinioRequest.header().path());
@@ -44,7 +44,7 @@
   return Request;
 }
 
-/// What both servers share: settings, and how a request is answered.
+/// Settings and request handling that both servers share.
 class RestinioServerBase : public HttpServer {
 public:
   RestinioServerBase(const HttpServerOptions &Options, HttpHandler Handler)
@@ -97,7 +97,7 @@
     try {
       Handler_(convertRequest(*RestinioRequest), Respond);
     } catch (const std::exception &) {
-      // Only a path or query that can't be decoded gets here.
+      // Handlers don't throw: the path or query could not be decoded.
       Respond(HttpResponse{400, {}, R"({"error":"malformed_input"})"});
     }
   }
@@ -123,6 +123,7 @@
   std::atomic<std::size_t> InFlight_{0};
 };
 
+/// Runs on a thread of its own.
 class ThreadHttpServer final : public RestinioServerBase {
 public:
   ThreadHttpServer(const HttpServerOptions &Options, HttpHandler Handler)
@@ -159,6 +160,7 @@
   std::thread Thread_;
 };
 
+/// Runs on the thread of a loop.
 class LoopHttpServer final : public RestinioServerBase {
 public:
   LoopHttpServer(asio::io_context &Context, const HttpServerOptions &Options,
--- a/packages/net/tests/HttpClientTest.cpp
+++ b/packages/net/tests/HttpClientTest.cpp
@@ -1,4 +1,7 @@
-// What a call comes to when the server misbehaves below HTTP.
+// Results of HTTP calls when the server misbehaves: it closes connections
+// without a response, truncates responses, or never answers. Callers decide by
+// the error whether they may send a request again, so one that the server may
+// have acted on must not be reported as not sent.
 
 #include <atomic>
 #include <future>
@@ -22,8 +25,9 @@
 const std::string CompleteResponse =
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Responses the requests of each connection with the given texts; an empty
-/// text closes the connection without a byte. Clients must end before it does.
+/// A TCP server that answers the requests of each connection with the given
+/// texts in turn; an empty text closes the connection without sending a byte.
+/// Clients must be destroyed before the server.
 class ScriptedServer {
 public:
   explicit ScriptedServer(std::vector<std::string> Responses)
@@ -112,20 +116,21 @@
 
 } // namespace
 
-// The second request reaches the server on a connection that is reused; the
-// server acts on it and closes without an answer. libcurl then sends it again
-// by itself, which must not happen to what may not run twice.
+// Guards against requests that are sent twice: if the second request reuses the
+// connection of the first, and the server acts on it and closes the connection
+// without a response, libcurl sends the request again by itself.
 BOOST_AUTO_TEST_CASE(neverResendIsSentOnce) {
   ScriptedServer Server({CompleteResponse, ""});
   const auto Client = makeHttpClient();
   BOOST_REQUIRE(call(*Client, post(Server.url(), false)));
   const HttpResult Result = call(*Client, post(Server.url(), true));
-  // On a connection of its own the call is that connection's first request.
+  // On a new connection it is the first request, which the server answers.
   BOOST_CHECK(Result);
   BOOST_CHECK_EQUAL(Server.requests(), 2);
 }
 
-// A server may take only so many connections.
+// Guards against idle connections piling up until the server's limit is
+// reached.
 BOOST_AUTO_TEST_CASE(neverResendLeavesNoConnectionOpen) {
   ScriptedServer Server({CompleteResponse, CompleteResponse});
   const auto Client = makeHttpClient();
@@ -148,15 +153,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(truncatedResponsesAreFailures) {
-  for (const char *Truncated :
+  for (const char *TruncatedResponse :
        {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nok",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok",
         "HTTP/1.1 200 OK\r\n\r\nno length at all", "HTTP/1.1 200 OK\r\nCont"}) {
-    ScriptedServer Server({Truncated, ""});
+    ScriptedServer Server({TruncatedResponse, ""});
     const auto Client = makeHttpClient();
     HttpCall Call = post(Server.url(), true);
     Call.Timeout = milliseconds(500);
-    BOOST_CHECK_MESSAGE(!call(*Client, Call), Truncated);
+    BOOST_CHECK_MESSAGE(!call(*Client, Call), TruncatedResponse);
   }
 }
 
