--- a/packages/fleet/tests/AdviceDispatcherTest.cpp
+++ b/packages/fleet/tests/AdviceDispatcherTest.cpp
@@ -36,12 +36,12 @@
 struct Fixture {
   Fixture() : Advisor(ControlLoop), Peers(Http) {
     Dispatcher = std::make_shared<AdviceDispatcher>(
-        Advisor, Peers, ControlLoop, ControlLoop.Time, "self",
+        Advisor, Peers, ControlLoop, ControlLoop.MonotonicClock, "self",
         [this](const StepName &) { return Needed; },
         [this](const StepName &Step,
                const Result<AdviceDispatcher::Answer> &Answer) {
           if (Answer)
-            AnswerReceivedAt = ControlLoop.Time.now();
+            AnswerReceivedAt = ControlLoop.MonotonicClock.now();
           else
             Dispatcher->requestAdvice(adviceRequest(Step));
           LastAsked = Answer ? Answer->Asked.size() : 0;
@@ -79,7 +79,7 @@
     Setup.ControlLoop.runFor(milliseconds(OutageMs));
     BOOST_CHECK(!Setup.AnswerReceivedAt);
     Setup.Advisor.Failing = false;
-    const TimePoint RecoveredAt = Setup.ControlLoop.Time.now();
+    const TimePoint RecoveredAt = Setup.ControlLoop.MonotonicClock.now();
     Setup.ControlLoop.runFor(milliseconds(12000));
     BOOST_REQUIRE_MESSAGE(Setup.AnswerReceivedAt, OutageMs << " ms outage");
     BOOST_CHECK_MESSAGE(*Setup.AnswerReceivedAt - RecoveredAt <=
--- a/packages/fleet/tests/JobFrontendTest.cpp
+++ b/packages/fleet/tests/JobFrontendTest.cpp
@@ -29,10 +29,11 @@
       : Vms(ControlLoop), Store(Rows, ControlLoop), Calls(Vms, ControlLoop),
         Events("a", 100, nullptr), Peers(Http), Advisor(ControlLoop),
         Directory(Formats, Events),
-        Context{
-            Settings, Self,  ControlLoop.Time, SystemClock, Events, ControlLoop,
-            Store,    Calls, Advisor,          Peers,       Queues, Directory,
-            Metrics},
+        Context{Settings,    Self,   ControlLoop.MonotonicClock,
+                SystemClock, Events, ControlLoop,
+                Store,       Calls,  Advisor,
+                Peers,       Queues, Directory,
+                Metrics},
         Frontend(Context, Pools, Owners) {
     Queue.Name = "q";
     Queue.Service = TestService;
@@ -47,13 +48,13 @@
     Step.Tasks = 1;
     Step.PerTask = TestTaskSize;
     Plan.Steps.push_back(Step);
-    const TimePoint SubmittedAt = ControlLoop.Time.now();
+    const TimePoint SubmittedAt = ControlLoop.MonotonicClock.now();
     Frontend.submit(Queue, Plan, CallerTimeout,
                     [this, Id, SubmittedAt](SubmitReply Reply) {
                       ++Replies;
                       LastReply = Reply;
                       ReplyTime = std::chrono::duration_cast<milliseconds>(
-                          ControlLoop.Time.now() - SubmittedAt);
+                          ControlLoop.MonotonicClock.now() - SubmittedAt);
                     });
   }
   bool isWritten(const std::string &Id) const {
@@ -75,8 +76,8 @@
     ControlLoop.runFor(2 * CallerTimeout);
     return Out;
   }
-  void setStoreFate(StoreFate Fate) {
-    Store.Decide = [Fate] { return Fate; };
+  void setStoreFate(StoreFault Fate) {
+    Store.NextFault = [Fate] { return Fate; };
   }
 
   FakeLoop ControlLoop;
@@ -120,7 +121,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(refusedJobIsNeverWritten, Fixture) {
-  setStoreFate({StoreFate::Refused, {}});
+  setStoreFate({StoreFault::Refused, {}});
   submit("j");
   ControlLoop.runFor(CallerTimeout);
   BOOST_REQUIRE_EQUAL(Replies, 1);
@@ -128,26 +129,26 @@
   BOOST_CHECK(LastReply.RetryAfter > milliseconds(0));
   // Refusals are sent well before the caller's timeout.
   BOOST_CHECK(ReplyTime < CallerTimeout / 2);
-  setStoreFate({StoreFate::Answered, {}});
+  setStoreFate({StoreFault::None, {}});
   ControlLoop.runFor(4 * CallerTimeout);
   BOOST_CHECK(!isWritten("j"));
 }
 
 BOOST_FIXTURE_TEST_CASE(shortStoreOutageIsNotVisibleToCallers, Fixture) {
-  setStoreFate({StoreFate::Refused, {}});
+  setStoreFate({StoreFault::Refused, {}});
   submit("j");
   ControlLoop.runFor(milliseconds(200));
-  setStoreFate({StoreFate::Answered, {}});
+  setStoreFate({StoreFault::None, {}});
   ControlLoop.runFor(CallerTimeout);
   BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
   BOOST_CHECK(isWritten("j"));
 }
 
 BOOST_FIXTURE_TEST_CASE(writeWithALostAnswerIsRetried, Fixture) {
-  setStoreFate({StoreFate::LostAfter, {}});
+  setStoreFate({StoreFault::ResponseLost, {}});
   submit("j");
   ControlLoop.runFor(milliseconds(100));
-  setStoreFate({StoreFate::Answered, {}});
+  setStoreFate({StoreFault::None, {}});
   ControlLoop.runFor(CallerTimeout);
   BOOST_CHECK_EQUAL(Replies, 1);
   BOOST_CHECK(LastReply.Outcome == SubmitOutcome::Accepted);
@@ -156,9 +157,9 @@
 BOOST_FIXTURE_TEST_CASE(possiblyWrittenJobIsNotReportedAsRefused, Fixture) {
   // The first attempt takes effect late; all others are refused.
   int Calls = 0;
-  Store.Decide = [&Calls] {
-    return Calls++ == 0 ? StoreFate{StoreFate::Late, milliseconds(2500)}
-                        : StoreFate{StoreFate::Refused, {}};
+  Store.NextFault = [&Calls] {
+    return Calls++ == 0 ? StoreFault{StoreFault::Delayed, milliseconds(2500)}
+                        : StoreFault{StoreFault::Refused, {}};
   };
   submit("j");
   ControlLoop.runFor(2 * CallerTimeout);
@@ -172,9 +173,9 @@
   for (unsigned Seed = 1; Seed <= 400; ++Seed) {
     Fixture Setup;
     std::mt19937 Random(Seed);
-    Setup.Store.Decide = [&Random] {
-      const auto Kind = static_cast<StoreFate::Kind>(Random() % 5);
-      return StoreFate{Kind, milliseconds(Random() % 5000)};
+    Setup.Store.NextFault = [&Random] {
+      const auto Kind = static_cast<StoreFault::FaultKind>(Random() % 5);
+      return StoreFault{Kind, milliseconds(Random() % 5000)};
     };
     Setup.submit("j");
     Setup.ControlLoop.runFor(4 * CallerTimeout);
@@ -203,7 +204,7 @@
 BOOST_FIXTURE_TEST_CASE(cancelWithoutTheStoreIsUnknown, Fixture) {
   submit("j");
   ControlLoop.runFor(CallerTimeout);
-  setStoreFate({StoreFate::Refused, {}});
+  setStoreFate({StoreFault::Refused, {}});
   BOOST_CHECK(cancel("j") == std::nullopt);
 }
 
@@ -223,7 +224,7 @@
       RowPut{progressRow(TestService, "j"), encodeProgress(Progress)});
   Rows.apply(Change);
   BOOST_CHECK(stage("j") == std::optional(std::optional(JobStage::Completed)));
-  setStoreFate({StoreFate::Refused, {}});
+  setStoreFate({StoreFault::Refused, {}});
   BOOST_CHECK(stage("j") == std::nullopt);
 }
 
--- a/packages/fleet/tests/PoolTestSupport.cpp
+++ b/packages/fleet/tests/PoolTestSupport.cpp
@@ -37,7 +37,7 @@
     : Store(Rows, ControlLoop), Calls(Vms, ControlLoop), Name_(std::move(Name)),
       ControlLoop_(ControlLoop), Events_(Name_, 100, nullptr), Peers_(Http_),
       Advisor_(ControlLoop), Directory_(Formats_, Events_),
-      Context_{Settings_,    Self_,   ControlLoop.Time,
+      Context_{Settings_,    Self_,   ControlLoop.MonotonicClock,
                SystemClock_, Events_, ControlLoop,
                Store,        Calls,   Advisor_,
                Peers_,       Queues_, Directory_,
@@ -55,9 +55,9 @@
   Self_ =
       DaemonIdentity{Name_, fmt::format("{}-{}", Name_, ++IncarnationCount_),
                      "d", Name_ + ":1", 1.0};
-  Lease_ =
-      std::make_shared<PoolLease>(Store, ControlLoop_, ControlLoop_.Time,
-                                  Events_, Self_, std::string(TestService));
+  Lease_ = std::make_shared<PoolLease>(Store, ControlLoop_,
+                                       ControlLoop_.MonotonicClock, Events_,
+                                       Self_, std::string(TestService));
   Lease_->OnAcquired = [this](const PoolTerm &Term) {
     Owner_ = std::make_shared<PoolOwner>(Context_, Term);
     Owner_->OnReplaced = [this] {
--- a/packages/fleet/tests/RelayedStoreTest.cpp
+++ b/packages/fleet/tests/RelayedStoreTest.cpp
@@ -56,10 +56,11 @@
   RelayedStoreFixture()
       : Direct(Rows, ControlLoop), PeerStore(Rows, ControlLoop),
         Events("t", 10, nullptr),
-        Http(makePeerHandler(Pools, Advisor, PeerStore, ControlLoop.Time),
+        Http(makePeerHandler(Pools, Advisor, PeerStore,
+                             ControlLoop.MonotonicClock),
              ControlLoop),
-        Store(Direct, Http, ControlLoop, ControlLoop.Time, Events, Metrics,
-              [] { return std::vector<std::string>{"peer:1"}; }) {}
+        Store(Direct, Http, ControlLoop, ControlLoop.MonotonicClock, Events,
+              Metrics, [] { return std::vector<std::string>{"peer:1"}; }) {}
 
   /// Makes a call on each daemon, so that the peer knows whether it reaches the
   /// store, and this daemon probes the peer if its own call fails.
@@ -95,12 +96,12 @@
   RelayedStore Store;
 };
 
-StoreFate refuseCall() { return StoreFate{StoreFate::Refused, {}}; }
+StoreFault refuseCall() { return StoreFault{StoreFault::Refused, {}}; }
 
 } // namespace
 
 BOOST_FIXTURE_TEST_CASE(refusedCallIsRelayed, RelayedStoreFixture) {
-  Direct.Decide = refuseCall;
+  Direct.NextFault = refuseCall;
   makeFirstCalls();
   BOOST_REQUIRE(commit("a"));
   BOOST_CHECK_EQUAL(Rows.find(RowName{"t", "p", "k"})->Value, "a");
@@ -114,11 +115,11 @@
 
 BOOST_FIXTURE_TEST_CASE(directCallsResumeWhenStoreIsReachable,
                         RelayedStoreFixture) {
-  Direct.Decide = refuseCall;
+  Direct.NextFault = refuseCall;
   makeFirstCalls();
   for (int Count = 0; Count < 3; ++Count)
     BOOST_REQUIRE(commit("x"));
-  Direct.Decide = nullptr;
+  Direct.NextFault = nullptr;
   for (int Count = 0; Count < 3; ++Count)
     BOOST_REQUIRE(commit("y"));
   const int CallCount = Http.CallCount;
@@ -128,19 +129,19 @@
 
 BOOST_FIXTURE_TEST_CASE(commitWithUnknownOutcomeIsNotRelayed,
                         RelayedStoreFixture) {
-  Direct.Decide = [] { return StoreFate{StoreFate::LostAfter, {}}; };
+  Direct.NextFault = [] { return StoreFault{StoreFault::ResponseLost, {}}; };
   const auto Outcome = commit("x");
   BOOST_REQUIRE(!Outcome);
   BOOST_CHECK(Outcome.error().Code == ErrorCode::WriteOutcomeUnknown);
-  BOOST_CHECK_EQUAL(PeerStore.Commits, 0);
+  BOOST_CHECK_EQUAL(PeerStore.CommitCalls, 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(lostPeerResponseGivesUnknownOutcome,
                         RelayedStoreFixture) {
-  Direct.Decide = refuseCall;
+  Direct.NextFault = refuseCall;
   makeFirstCalls();
   // The peer's commit is applied, but the store's response to it is lost.
-  PeerStore.Decide = [] { return StoreFate{StoreFate::LostAfter, {}}; };
+  PeerStore.NextFault = [] { return StoreFault{StoreFault::ResponseLost, {}}; };
   const auto Outcome = commit("x");
   BOOST_REQUIRE(!Outcome);
   BOOST_CHECK(Outcome.error().Code == ErrorCode::WriteOutcomeUnknown);
@@ -148,8 +149,8 @@
 
 BOOST_FIXTURE_TEST_CASE(refusalByAllIsPlatformUnavailable,
                         RelayedStoreFixture) {
-  Direct.Decide = refuseCall;
-  PeerStore.Decide = refuseCall;
+  Direct.NextFault = refuseCall;
+  PeerStore.NextFault = refuseCall;
   makeFirstCalls();
   const auto Outcome = commit("x");
   BOOST_REQUIRE(!Outcome);
@@ -158,7 +159,7 @@
 
 BOOST_FIXTURE_TEST_CASE(peerThatFailsProbeIsNotUsed, RelayedStoreFixture) {
   // A commit lost on its way to such a peer would have an unknown outcome.
-  Direct.Decide = refuseCall;
+  Direct.NextFault = refuseCall;
   Http.Failure = ErrorCode::Timeout;
   makeFirstCalls();
   const auto Outcome = commit("x");
@@ -170,14 +171,15 @@
                         RelayedStoreFixture) {
   // A wait for changes through a daemon that loses power must time out early.
   // Otherwise contracts come into force late, once by 2.7 s.
-  Direct.Decide = refuseCall;
+  Direct.NextFault = refuseCall;
   makeFirstCalls();
   Http.Hang = true;
   std::optional<TimePoint> Failed;
-  Store.changes(
-      RowChanges{"t", 0, milliseconds(1500)},
-      [&](const Result<RowPage> &) { Failed = ControlLoop.Time.now(); });
-  const TimePoint Begin = ControlLoop.Time.now();
+  Store.changes(RowChanges{"t", 0, milliseconds(1500)},
+                [&](const Result<RowPage> &) {
+                  Failed = ControlLoop.MonotonicClock.now();
+                });
+  const TimePoint Begin = ControlLoop.MonotonicClock.now();
   ControlLoop.runFor(milliseconds(1500));
   BOOST_REQUIRE(Failed);
   BOOST_CHECK(*Failed - Begin <= milliseconds(1200));
--- a/packages/fleet/tests/TakeoverTest.cpp
+++ b/packages/fleet/tests/TakeoverTest.cpp
@@ -65,7 +65,7 @@
       Entries_.push_back(StoredRow{RowName{"vms", "", Id},
                                    std::to_string(TasksPerVm), 1, false});
     }
-    Vms_.Plan = [this](const TaskRun &) {
+    Vms_.PlanRun = [this](const TaskRun &) {
       const unsigned Longest = Faults_.SplitReachability ? 6000 : 900;
       return std::pair{milliseconds(100 + Random_() % Longest),
                        Random_() % 12 == 0 ? RunOutcome::Failed
@@ -98,9 +98,9 @@
   void check() {
     std::map<TaskName, std::pair<std::string, TaskRun>> Running;
     std::map<std::string, int> OnVm;
-    for (const RunEvent &Event : Vms_.History) {
+    for (const RunEvent &Event : Vms_.RunHistory) {
       const TaskName &Task = Event.Run.Task;
-      if (!Event.Start) {
+      if (!Event.IsStart) {
         Running.erase(Task);
         --OnVm[Event.Vm];
         continue;
@@ -111,13 +111,13 @@
       BOOST_CHECK_LE(++OnVm[Event.Vm], TasksPerVm);
       if (Task.Step.Step == 1)
         BOOST_CHECK_MESSAGE(
-            firstStepDone(Task.Step.Job, Event.At),
+            firstStepDone(Task.Step.Job, Event.Time),
             "started before the first step was done: " << Task.Step.Job);
     }
     BOOST_CHECK(Running.empty());
-    for (const auto &[Task, DoneAt] : Vms_.AcknowledgedDone)
-      for (const RunEvent &Event : Vms_.History)
-        BOOST_CHECK_MESSAGE(!Event.Start || Event.At <= DoneAt ||
+    for (const auto &[Task, DoneAt] : Vms_.AcknowledgedCompletions)
+      for (const RunEvent &Event : Vms_.RunHistory)
+        BOOST_CHECK_MESSAGE(!Event.IsStart || Event.Time <= DoneAt ||
                                 !(Event.Run.Task == Task),
                             "started again after its success was acknowledged: "
                                 << Task.Step.Job);
@@ -128,33 +128,34 @@
 private:
   void injectFaults(std::size_t Index) {
     TestDaemon &Daemon = *Daemons_[Index];
-    Daemon.Store.Decide = [this, Index] {
+    Daemon.Store.NextFault = [this, Index] {
       if (!FaultsOver_ && DaemonWithoutStore_ == static_cast<int>(Index))
-        return StoreFate{StoreFate::Refused, {}};
+        return StoreFault{StoreFault::Refused, {}};
       if (FaultsOver_ || !Faults_.Store)
-        return StoreFate{};
+        return StoreFault{};
       switch (Random_() % 25) {
       case 0:
-        return StoreFate{StoreFate::LostAfter, {}};
+        return StoreFault{StoreFault::ResponseLost, {}};
       case 1:
-        return StoreFate{StoreFate::Late, milliseconds(500 + Random_() % 4000)};
+        return StoreFault{StoreFault::Delayed,
+                          milliseconds(500 + Random_() % 4000)};
       default:
-        return StoreFate{};
+        return StoreFault{};
       }
     };
-    Daemon.Calls.Decide = [this, Index](const std::string &Vm) {
+    Daemon.Calls.NextFault = [this, Index](const std::string &Vm) {
       if (UnreachableVms_.contains({Index, Vm}))
-        return OrderFate{OrderFate::Lost, {}};
+        return VmCallFault{VmCallFault::RequestLost, {}};
       if (FaultsOver_ || !Faults_.Orders)
-        return OrderFate{};
+        return VmCallFault{};
       switch (Random_() % 25) {
       case 0:
-        return OrderFate{OrderFate::AnswerLost, {}};
+        return VmCallFault{VmCallFault::ResponseLost, {}};
       case 1:
-        return OrderFate{OrderFate::Late,
-                         milliseconds(1000 + Random_() % 6000)};
+        return VmCallFault{VmCallFault::Delayed,
+                           milliseconds(1000 + Random_() % 6000)};
       default:
-        return OrderFate{};
+        return VmCallFault{};
       }
     };
   }
@@ -194,9 +195,10 @@
 
   bool firstStepDone(const std::string &Job, TimePoint Before) const {
     std::set<TaskName> Done;
-    for (const RunEvent &Event : Vms_.History)
-      if (!Event.Start && Event.How == RunOutcome::Done && Event.At <= Before &&
-          Event.Run.Task.Step.Job == Job && Event.Run.Task.Step.Step == 0)
+    for (const RunEvent &Event : Vms_.RunHistory)
+      if (!Event.IsStart && Event.Outcome == RunOutcome::Done &&
+          Event.Time <= Before && Event.Run.Task.Step.Job == Job &&
+          Event.Run.Task.Step.Step == 0)
         Done.insert(Event.Run.Task);
     return static_cast<int>(Done.size()) == Jobs_.at(Job).Steps[0].Tasks;
   }
@@ -210,8 +212,8 @@
                         "not finished: " << Job << " of "
                                          << Plan.Steps[0].Tasks);
     int Failures = 0;
-    for (const RunEvent &Event : Vms_.History)
-      Failures += !Event.Start && Event.How == RunOutcome::Failed &&
+    for (const RunEvent &Event : Vms_.RunHistory)
+      Failures += !Event.IsStart && Event.Outcome == RunOutcome::Failed &&
                   Event.Run.Task.Step.Job == Job;
     if (Progress->Stage == JobStage::Failed)
       BOOST_CHECK_GE(Failures, 3);
--- a/packages/fleet/tests/VmLinkTest.cpp
+++ b/packages/fleet/tests/VmLinkTest.cpp
@@ -22,9 +22,9 @@
     Entry.Address = "a:1";
     VmLink::Options Options;
     Options.FencingToken = 1;
-    Options.InheritedLeasesUntil = ControlLoop.Time.now() + Inherited;
+    Options.InheritedLeasesUntil = ControlLoop.MonotonicClock.now() + Inherited;
     Link = std::make_shared<VmLink>(Entry, Options, Calls, ControlLoop,
-                                    ControlLoop.Time, *this);
+                                    ControlLoop.MonotonicClock, *this);
     Link->start();
   }
   ~Fixture() override {
@@ -47,7 +47,7 @@
   }
   void onReachable(VmLink &) override { ++ReachableReports; }
   void onLeaseExpired(VmLink &) override {
-    LeaseExpiredAt = ControlLoop.Time.now();
+    LeaseExpiredAt = ControlLoop.MonotonicClock.now();
   }
   void onFenced(VmLink &) override { Fenced = true; }
   void onStartAnswered(VmLink &, const TaskRun &, StartOutcome Outcome,
@@ -82,10 +82,10 @@
 } // namespace
 
 BOOST_FIXTURE_TEST_CASE(unreachedVmExpiresOnlyAfterInheritedLeases, Fixture) {
-  Calls.Decide = [](const std::string &) {
-    return OrderFate{OrderFate::Lost, {}};
+  Calls.NextFault = [](const std::string &) {
+    return VmCallFault{VmCallFault::RequestLost, {}};
   };
-  const TimePoint Begin = ControlLoop.Time.now();
+  const TimePoint Begin = ControlLoop.MonotonicClock.now();
   connect(InheritedLeaseWait);
   ControlLoop.runFor(InheritedLeaseWait * 2);
   BOOST_REQUIRE(LeaseExpiredAt);
@@ -97,30 +97,31 @@
   connect();
   ControlLoop.runFor(milliseconds(500));
   Link->startRun(startOf(), "spec");
-  Vms.Plan = [](const TaskRun &) {
+  Vms.PlanRun = [](const TaskRun &) {
     return std::pair{milliseconds(60000), RunOutcome::Done};
   };
   ControlLoop.runFor(milliseconds(500));
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
-  Calls.Decide = [](const std::string &) {
-    return OrderFate{OrderFate::Lost, {}};
+  Calls.NextFault = [](const std::string &) {
+    return VmCallFault{VmCallFault::RequestLost, {}};
   };
   ControlLoop.runFor(TaskLease * 3);
   BOOST_CHECK(!UnreachableAttempts.empty());
   BOOST_REQUIRE(LeaseExpiredAt);
   // The VM ended the run itself, before the link reported the lease as expired.
-  const RunEvent &End = Vms.History.back();
-  BOOST_REQUIRE(!End.Start);
-  BOOST_CHECK(End.How == RunOutcome::LeaseLapsed);
-  BOOST_CHECK(End.At <= *LeaseExpiredAt);
+  const RunEvent &End = Vms.RunHistory.back();
+  BOOST_REQUIRE(!End.IsStart);
+  BOOST_CHECK(End.Outcome == RunOutcome::LeaseLapsed);
+  BOOST_CHECK(End.Time <= *LeaseExpiredAt);
 }
 
 BOOST_FIXTURE_TEST_CASE(startWithALostAnswerIsCompletedByARepeat, Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
   int Orders = 0;
-  Calls.Decide = [&](const std::string &) {
-    return ++Orders == 1 ? OrderFate{OrderFate::AnswerLost, {}} : OrderFate{};
+  Calls.NextFault = [&](const std::string &) {
+    return ++Orders == 1 ? VmCallFault{VmCallFault::ResponseLost, {}}
+                         : VmCallFault{};
   };
   Link->startRun(startOf(), "spec");
   ControlLoop.runFor(milliseconds(5000));
@@ -133,11 +134,11 @@
 BOOST_FIXTURE_TEST_CASE(startWithAnExpiredTicketIsNotSent, Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
-  const int Before = Calls.Starts;
-  Link->startRun(startOf("t", ControlLoop.Time.now()), "spec");
+  const int Before = Calls.StartCalls;
+  Link->startRun(startOf("t", ControlLoop.MonotonicClock.now()), "spec");
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Outcomes[0] == StartOutcome::TicketExpired);
-  BOOST_CHECK_EQUAL(Calls.Starts, Before);
+  BOOST_CHECK_EQUAL(Calls.StartCalls, Before);
 }
 
 BOOST_FIXTURE_TEST_CASE(newerOwnerFencesTheLink, Fixture) {
@@ -163,34 +164,35 @@
   connect();
   ControlLoop.runFor(milliseconds(500));
   bool First = true;
-  Calls.Decide = [&](const std::string &) {
-    return std::exchange(First, false) ? OrderFate{OrderFate::Lost, {}}
-                                       : OrderFate{};
+  Calls.NextFault = [&](const std::string &) {
+    return std::exchange(First, false)
+               ? VmCallFault{VmCallFault::RequestLost, {}}
+               : VmCallFault{};
   };
   Link->startRun(startOf(), "spec");
-  Calls.Unhealthy = true;
+  Calls.RefuseStartsAndStops = true;
   ControlLoop.runFor(TaskLease * 2);
   BOOST_REQUIRE_EQUAL(Outcomes.size(), 1);
   BOOST_CHECK(Outcomes[0] == StartOutcome::OldRun);
   // No start is sent after that.
-  const int Sent = Calls.Starts;
-  Calls.Unhealthy = false;
+  const int Sent = Calls.StartCalls;
+  Calls.RefuseStartsAndStops = false;
   ControlLoop.runFor(TaskLease * 2);
-  BOOST_CHECK_EQUAL(Calls.Starts, Sent);
+  BOOST_CHECK_EQUAL(Calls.StartCalls, Sent);
   BOOST_CHECK_EQUAL(Outcomes.size(), 1);
-  BOOST_CHECK(Vms.History.empty());
+  BOOST_CHECK(Vms.RunHistory.empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(stopCanBeSentAgainAfterTheVmWasUnhealthy, Fixture) {
   connect();
   ControlLoop.runFor(milliseconds(500));
-  Calls.Unhealthy = true;
+  Calls.RefuseStartsAndStops = true;
   Link->stopRun(Run);
   // A stop that is already pending is not sent twice.
   Link->stopRun(Run);
   ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Stopped, 0);
-  Calls.Unhealthy = false;
+  Calls.RefuseStartsAndStops = false;
   Link->stopRun(Run);
   ControlLoop.runFor(milliseconds(1000));
   BOOST_CHECK_EQUAL(Stopped, 1);
@@ -201,16 +203,16 @@
   // new one and left the old one open.
   connect();
   ControlLoop.runFor(milliseconds(500));
-  Calls.HoldsUnhealthy = true;
+  Calls.RefuseHolds = true;
   ControlLoop.runFor(milliseconds(10000));
-  BOOST_CHECK_EQUAL(Calls.FreshHolds, 0);
+  BOOST_CHECK_EQUAL(Calls.FreshConnectionHolds, 0);
   // After an unanswered order, a new connection is opened.
-  Calls.HoldsUnhealthy = false;
-  Calls.Decide = [](const std::string &) {
-    return OrderFate{OrderFate::Lost, {}};
+  Calls.RefuseHolds = false;
+  Calls.NextFault = [](const std::string &) {
+    return VmCallFault{VmCallFault::RequestLost, {}};
   };
   ControlLoop.runFor(milliseconds(10000));
-  BOOST_CHECK_GE(Calls.FreshHolds, 3);
+  BOOST_CHECK_GE(Calls.FreshConnectionHolds, 3);
 }
 
 BOOST_FIXTURE_TEST_CASE(failuresAreReportedAtDoublingCountsAndRecoveryOnce,
@@ -219,13 +221,13 @@
   connect();
   ControlLoop.runFor(milliseconds(500));
   BOOST_CHECK_EQUAL(ReachableReports, 1);
-  Calls.HoldsUnhealthy = true;
+  Calls.RefuseHolds = true;
   ControlLoop.runFor(milliseconds(10000));
   const std::vector<int> Expected{2, 4, 8, 16, 32};
   BOOST_CHECK_EQUAL_COLLECTIONS(UnreachableAttempts.begin(),
                                 UnreachableAttempts.end(), Expected.begin(),
                                 Expected.end());
-  Calls.HoldsUnhealthy = false;
+  Calls.RefuseHolds = false;
   ControlLoop.runFor(milliseconds(3000));
   BOOST_CHECK_EQUAL(ReachableReports, 2);
 }
@@ -241,13 +243,13 @@
   while (!Ended())
     ControlLoop.runFor(milliseconds(10));
   ControlLoop.runFor(RecordingDelay);
-  Calls.HoldsUnhealthy = true;
+  Calls.RefuseHolds = true;
   ControlLoop.runFor(milliseconds(3000));
-  const int Before = Calls.Holds;
+  const int Before = Calls.HoldCalls;
   ControlLoop.runFor(milliseconds(10000));
   // Failed holds are repeated every 250 ms.
-  BOOST_CHECK_LE(Calls.Holds - Before, 40);
-  BOOST_CHECK_GE(Calls.Holds - Before, 30);
+  BOOST_CHECK_LE(Calls.HoldCalls - Before, 40);
+  BOOST_CHECK_GE(Calls.HoldCalls - Before, 30);
 }
 
 BOOST_FIXTURE_TEST_CASE(pendingStartIsStoppedInTheNewIncarnation, Fixture) {
@@ -256,15 +258,15 @@
   // expired by it.
   connect();
   ControlLoop.runFor(milliseconds(500));
-  Calls.Decide = [](const std::string &) {
-    return OrderFate{OrderFate::Late, milliseconds(3000)};
+  Calls.NextFault = [](const std::string &) {
+    return VmCallFault{VmCallFault::Delayed, milliseconds(3000)};
   };
   Link->startRun(startOf(), "spec");
-  Calls.Decide = nullptr;
+  Calls.NextFault = nullptr;
   Vms.restart("a", 7);
   ControlLoop.runFor(milliseconds(10000));
   BOOST_CHECK_EQUAL(Stopped, 1);
-  BOOST_CHECK(Vms.History.empty());
+  BOOST_CHECK(Vms.RunHistory.empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(restartedVmIsAssumedToHoldTheLongestLease, Fixture) {
@@ -273,9 +275,9 @@
   Vms.restart("a", 7);
   while (LastAnswer.Incarnation != 7)
     ControlLoop.runFor(milliseconds(1));
-  const TimePoint Restarted = ControlLoop.Time.now();
-  Calls.Decide = [](const std::string &) {
-    return OrderFate{OrderFate::Lost, {}};
+  const TimePoint Restarted = ControlLoop.MonotonicClock.now();
+  Calls.NextFault = [](const std::string &) {
+    return VmCallFault{VmCallFault::RequestLost, {}};
   };
   ControlLoop.runFor(milliseconds(20000));
   BOOST_REQUIRE(LeaseExpiredAt);
--- a/packages/store/tests/ChainedWriterTest.cpp
+++ b/packages/store/tests/ChainedWriterTest.cpp
@@ -21,7 +21,7 @@
 std::shared_ptr<ChainedWriter> makeWriter(FakeRowStore &Store, FakeLoop &Home,
                                           const std::string &Name) {
   return std::make_shared<ChainedWriter>(
-      Store, Home, Home.Time,
+      Store, Home, Home.MonotonicClock,
       ChainedWriter::Head{HeadRow,
                           [Name](std::int64_t Serial) {
                             return Name + "/" + std::to_string(Serial);
@@ -43,16 +43,16 @@
   return Rows.apply(Change).Version;
 }
 
-StoreFate randomFate(std::mt19937 &Random) {
+StoreFault randomFate(std::mt19937 &Random) {
   switch (Random() % 8) {
   case 0:
-    return {StoreFate::Refused, {}};
+    return {StoreFault::Refused, {}};
   case 1:
-    return {StoreFate::LostAfter, {}};
+    return {StoreFault::ResponseLost, {}};
   case 2:
-    return {StoreFate::LostBefore, {}};
+    return {StoreFault::RequestLost, {}};
   case 3:
-    return {StoreFate::Late, milliseconds(200 + Random() % 4000)};
+    return {StoreFault::Delayed, milliseconds(200 + Random() % 4000)};
   default:
     return {};
   }
@@ -67,9 +67,9 @@
     FakeRows Rows;
     FakeRowStore Store(Rows, Home);
     const auto Writer = makeWriter(Store, Home, "a");
-    Writer->begin(takeHead(Rows, "a/0"), Home.Time.now());
+    Writer->begin(takeHead(Rows, "a/0"), Home.MonotonicClock.now());
     bool Calm = false;
-    Store.Decide = [&] { return Calm ? StoreFate{} : randomFate(Random); };
+    Store.NextFault = [&] { return Calm ? StoreFault{} : randomFate(Random); };
     std::map<int, std::string> Last;
     int Told = 0;
     int Asked = 0;
@@ -102,10 +102,10 @@
     FakeRows Rows;
     FakeRowStore Store(Rows, Home);
     const auto Old = makeWriter(Store, Home, "old");
-    Old->begin(takeHead(Rows, "old/0"), Home.Time.now());
+    Old->begin(takeHead(Rows, "old/0"), Home.MonotonicClock.now());
     bool Replaced = false;
     Old->OnReplaced = [&] { Replaced = true; };
-    Store.Decide = [&] { return randomFate(Random); };
+    Store.NextFault = [&] { return randomFate(Random); };
     for (int Step = 0; Step < 10; ++Step) {
       Old->put(dataRow(1), [Step] { return "old" + std::to_string(Step); });
       Home.runFor(milliseconds(Random() % 200));
@@ -128,10 +128,11 @@
   FakeRows Rows;
   FakeRowStore Store(Rows, Home);
   const auto Writer = makeWriter(Store, Home, "a");
-  Writer->begin(takeHead(Rows, "a/0"), Home.Time.now());
+  Writer->begin(takeHead(Rows, "a/0"), Home.MonotonicClock.now());
   int Calls = 0;
-  Store.Decide = [&] {
-    return ++Calls == 1 ? StoreFate{StoreFate::LostAfter, {}} : StoreFate{};
+  Store.NextFault = [&] {
+    return ++Calls == 1 ? StoreFault{StoreFault::ResponseLost, {}}
+                        : StoreFault{};
   };
   Writer->renew();
   Home.runFor(milliseconds(50));
@@ -149,7 +150,7 @@
   FakeRowStore Store(Rows, Home);
   Store.Latency = milliseconds(300);
   const auto Writer = makeWriter(Store, Home, "a");
-  Writer->begin(takeHead(Rows, "a/0"), Home.Time.now());
+  Writer->begin(takeHead(Rows, "a/0"), Home.MonotonicClock.now());
   int Told = 0;
   int Next = 0;
   for (int Step = 0; Step < 50; ++Step) {
--- a/packages/store/tests/TableFollowerTest.cpp
+++ b/packages/store/tests/TableFollowerTest.cpp
@@ -49,9 +49,9 @@
     FakeRows Rows;
     FakeRowStore Store(Rows, Home);
     bool Calm = false;
-    Store.Decide = [&] {
-      return !Calm && Random() % 3 == 0 ? StoreFate{StoreFate::Refused, {}}
-                                        : StoreFate{};
+    Store.NextFault = [&] {
+      return !Calm && Random() % 3 == 0 ? StoreFault{StoreFault::Refused, {}}
+                                        : StoreFault{};
     };
     MapSink Sink;
     const auto Follower = std::make_shared<TableFollower>(
--- a/tests/fakes/include/cuminroad/fakes/FakeLoop.h
+++ b/tests/fakes/include/cuminroad/fakes/FakeLoop.h
@@ -13,26 +13,27 @@
 public:
   void post(Work Run) override { after(milliseconds(0), std::move(Run)); }
   void after(milliseconds Delay, Work Run) override {
-    Queue_.emplace(Time.now() + std::max(Delay, milliseconds(0)),
+    Queue_.emplace(MonotonicClock.now() + std::max(Delay, milliseconds(0)),
                    std::move(Run));
   }
   /// Runs what becomes due within \p Span, in order of time.
-  void runFor(milliseconds Span) {
-    const TimePoint End = Time.now() + Span;
+  void runFor(milliseconds Duration) {
+    const TimePoint End = MonotonicClock.now() + Duration;
     while (!Queue_.empty() && Queue_.begin()->first <= End) {
       const auto First = Queue_.begin();
-      if (First->first > Time.now())
-        Time.advance(std::chrono::duration_cast<milliseconds>(First->first -
-                                                              Time.now()));
+      if (First->first > MonotonicClock.now())
+        MonotonicClock.advance(std::chrono::duration_cast<milliseconds>(
+            First->first - MonotonicClock.now()));
       const Work Run = std::move(First->second);
       Queue_.erase(First);
       Run();
     }
-    if (End > Time.now())
-      Time.advance(std::chrono::duration_cast<milliseconds>(End - Time.now()));
+    if (End > MonotonicClock.now())
+      MonotonicClock.advance(
+          std::chrono::duration_cast<milliseconds>(End - MonotonicClock.now()));
   }
 
-  ManualClock Time;
+  ManualClock MonotonicClock;
 
 private:
   std::multimap<TimePoint, Work> Queue_;
--- a/tests/fakes/src/FakeRowStore.cpp
+++ b/tests/fakes/src/FakeRowStore.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr milliseconds FeedPoll{5};
+constexpr milliseconds FeedPollInterval{5};
 
 FakeRows::Key keyOf(const RowName &Name) {
   return {Name.Table, Name.Partition, Name.Key};
@@ -20,126 +20,131 @@
                                                       : &Found->second;
 }
 
-RowCommit FakeRows::apply(const RowTransaction &Change) {
-  RowCommit Out;
-  bool Holds = true;
-  for (const RowCheck &Check : Change.Checks) {
+RowCommit FakeRows::apply(const RowTransaction &Transaction) {
+  RowCommit Commit;
+  bool ChecksHold = true;
+  for (const RowCheck &Check : Transaction.Checks) {
     const StoredRow *Row = find(Check.Name);
-    Holds = Holds && (Row == nullptr ? 0 : Row->Version) == Check.Version;
+    ChecksHold =
+        ChecksHold && (Row == nullptr ? 0 : Row->Version) == Check.Version;
     if (Row != nullptr)
-      Out.Found.push_back(*Row);
+      Commit.Found.push_back(*Row);
   }
-  if (!Holds)
-    return Out;
-  Out.Found.clear();
-  Out.Version = ++Version;
-  for (const RowPut &Put : Change.Puts)
+  if (!ChecksHold)
+    return Commit;
+  Commit.Found.clear();
+  Commit.Version = ++Version;
+  for (const RowPut &Put : Transaction.Puts)
     Rows[keyOf(Put.Name)] = StoredRow{Put.Name, Put.Value, Version, false};
-  for (const RowName &Name : Change.Removals)
+  for (const RowName &Name : Transaction.Removals)
     Rows[keyOf(Name)] = StoredRow{Name, "", Version, true};
-  return Out;
+  return Commit;
 }
 
 RowPage FakeRows::read(const RowRange &Range) const {
-  RowPage Out;
-  Out.Version = Version;
+  RowPage Page;
+  Page.Version = Version;
   for (const auto &[Key, Row] : Rows) {
     if (Row.Removed || Row.Name.Table != Range.Table ||
         Row.Name.Partition != Range.Partition || Row.Name.Key < Range.From ||
         (!Range.Until.empty() && Row.Name.Key >= Range.Until))
       continue;
-    if (static_cast<int>(Out.Rows.size()) == Range.Limit) {
-      Out.HasMore = true;
+    if (static_cast<int>(Page.Rows.size()) == Range.Limit) {
+      Page.HasMore = true;
       break;
     }
-    Out.Rows.push_back(Row);
+    Page.Rows.push_back(Row);
   }
-  return Out;
+  return Page;
 }
 
 RowPage FakeRows::changesSince(const std::string &Table,
                                std::int64_t After) const {
-  RowPage Out;
-  Out.Version = Version;
+  RowPage Page;
+  Page.Version = Version;
   for (const auto &[Key, Row] : Rows)
     if (Row.Name.Table == Table && Row.Version > After)
-      Out.Rows.push_back(Row);
-  std::sort(Out.Rows.begin(), Out.Rows.end(),
+      Page.Rows.push_back(Row);
+  std::sort(Page.Rows.begin(), Page.Rows.end(),
             [](const StoredRow &Left, const StoredRow &Right) {
               return Left.Version < Right.Version;
             });
-  return Out;
+  return Page;
 }
 
 milliseconds FakeRowStore::storeTime() const {
   return std::chrono::duration_cast<milliseconds>(
-      Home_.Time.now().time_since_epoch());
+      ControlLoop_.MonotonicClock.now().time_since_epoch());
 }
 
-void FakeRowStore::commit(RowTransaction Change, milliseconds Timeout,
+void FakeRowStore::commit(RowTransaction Transaction, milliseconds Timeout,
                           CommitDone Done) {
-  ++Commits;
-  const StoreFate Fate = fate();
-  const auto GiveUp = [this, Timeout, Done] {
-    Home_.after(Timeout,
-                [Done] { Done(failure(ErrorCode::WriteOutcomeUnknown)); });
+  ++CommitCalls;
+  const StoreFault Fault = injectedFault();
+  const auto ReportUnknownOutcome = [this, Timeout, Done] {
+    ControlLoop_.after(
+        Timeout, [Done] { Done(failure(ErrorCode::WriteOutcomeUnknown)); });
   };
-  switch (Fate.What) {
-  case StoreFate::Answered:
-    Home_.after(Latency, [this, Change, Done] {
-      LastContact_ = Home_.Time.now();
-      Done(Rows_.apply(Change));
+  switch (Fault.Kind) {
+  case StoreFault::None:
+    ControlLoop_.after(Latency, [this, Transaction, Done] {
+      LastContact_ = ControlLoop_.MonotonicClock.now();
+      Done(Rows_.apply(Transaction));
     });
     return;
-  case StoreFate::Refused:
-    Home_.after(Latency,
-                [Done] { Done(failure(ErrorCode::PlatformUnavailable)); });
+  case StoreFault::Refused:
+    ControlLoop_.after(
+        Latency, [Done] { Done(failure(ErrorCode::PlatformUnavailable)); });
     return;
-  case StoreFate::LostAfter:
-    Home_.after(Latency, [this, Change] { Rows_.apply(Change); });
-    return GiveUp();
-  case StoreFate::LostBefore:
-    return GiveUp();
-  case StoreFate::Late:
-    Home_.after(Fate.Delay, [this, Change] { Rows_.apply(Change); });
-    return GiveUp();
+  case StoreFault::ResponseLost:
+    ControlLoop_.after(Latency,
+                       [this, Transaction] { Rows_.apply(Transaction); });
+    return ReportUnknownOutcome();
+  case StoreFault::RequestLost:
+    return ReportUnknownOutcome();
+  case StoreFault::Delayed:
+    ControlLoop_.after(Fault.Delay,
+                       [this, Transaction] { Rows_.apply(Transaction); });
+    return ReportUnknownOutcome();
   }
 }
 
 void FakeRowStore::read(RowRange Range, milliseconds Timeout, PageDone Done) {
-  ++Reads;
-  if (fate().What != StoreFate::Answered) {
-    Home_.after(Timeout,
-                [Done] { Done(failure(ErrorCode::PlatformUnavailable)); });
+  ++ReadCalls;
+  if (injectedFault().Kind != StoreFault::None) {
+    ControlLoop_.after(
+        Timeout, [Done] { Done(failure(ErrorCode::PlatformUnavailable)); });
     return;
   }
-  Home_.after(Latency, [this, Range, Done] {
-    LastContact_ = Home_.Time.now();
+  ControlLoop_.after(Latency, [this, Range, Done] {
+    LastContact_ = ControlLoop_.MonotonicClock.now();
     Done(Rows_.read(Range));
   });
 }
 
-void FakeRowStore::changes(RowChanges Wanted, PageDone Done) {
-  ++Reads;
-  if (fate().What != StoreFate::Answered) {
-    Home_.after(Latency,
-                [Done] { Done(failure(ErrorCode::PlatformUnavailable)); });
+void FakeRowStore::changes(RowChanges Request, PageDone Done) {
+  ++ReadCalls;
+  if (injectedFault().Kind != StoreFault::None) {
+    ControlLoop_.after(
+        Latency, [Done] { Done(failure(ErrorCode::PlatformUnavailable)); });
     return;
   }
-  const TimePoint Until = Home_.Time.now() + Wanted.Wait;
-  Home_.after(Latency,
-              [this, Wanted, Until, Done] { poll(Wanted, Until, Done); });
+  const TimePoint Deadline = ControlLoop_.MonotonicClock.now() + Request.Wait;
+  ControlLoop_.after(Latency, [this, Request, Deadline, Done] {
+    poll(Request, Deadline, Done);
+  });
 }
 
-void FakeRowStore::poll(RowChanges Wanted, TimePoint Until, PageDone Done) {
-  if (Wanted.After < Rows_.CompactedTo)
+void FakeRowStore::poll(RowChanges Request, TimePoint Deadline, PageDone Done) {
+  if (Request.After < Rows_.CompactedVersion)
     return Done(failure(ErrorCode::HistoryGone));
-  RowPage Page = Rows_.changesSince(Wanted.Table, Wanted.After);
-  LastContact_ = Home_.Time.now();
-  if (!Page.Rows.empty() || Home_.Time.now() >= Until)
+  RowPage Page = Rows_.changesSince(Request.Table, Request.After);
+  LastContact_ = ControlLoop_.MonotonicClock.now();
+  if (!Page.Rows.empty() || ControlLoop_.MonotonicClock.now() >= Deadline)
     return Done(std::move(Page));
-  Home_.after(FeedPoll,
-              [this, Wanted, Until, Done] { poll(Wanted, Until, Done); });
+  ControlLoop_.after(FeedPollInterval, [this, Request, Deadline, Done] {
+    poll(Request, Deadline, Done);
+  });
 }
 
 } // namespace cuminroad
--- a/tests/fakes/src/FakeVms.cpp
+++ b/tests/fakes/src/FakeVms.cpp
@@ -6,39 +6,39 @@
 
 namespace {
 
-constexpr milliseconds UsualRun{300};
+constexpr milliseconds DefaultRunTime{300};
 constexpr milliseconds MaxLease{6000};
 /// A VM that waits for an end answers after this at the latest in tests, so
 /// that its answer is not computed from a later state.
-constexpr milliseconds HoldStep{50};
+constexpr milliseconds MaxHoldWait{50};
 
 } // namespace
 
-milliseconds FakeVms::clock() const {
+milliseconds FakeVms::vmTime() const {
   return std::chrono::duration_cast<milliseconds>(
-      Home_.Time.now().time_since_epoch());
+      ControlLoop_.MonotonicClock.now().time_since_epoch());
 }
 
-void FakeVms::add(const std::string &Id, std::int64_t Born) {
-  Vms_[Id].Born = Born;
+void FakeVms::add(const std::string &Id, std::int64_t Incarnation) {
+  Vms_[Id].Incarnation = Incarnation;
 }
 
-void FakeVms::restart(const std::string &Id, std::int64_t Born) {
+void FakeVms::restart(const std::string &Id, std::int64_t Incarnation) {
   VmState &Vm = Vms_[Id];
   for (const auto &[Run, EndsAt] : Vm.Running)
-    History.push_back(
-        RunEvent{Home_.Time.now(), Id, Run, false, RunOutcome::LeaseLapsed});
+    RunHistory.push_back(RunEvent{ControlLoop_.MonotonicClock.now(), Id, Run,
+                                  false, RunOutcome::LeaseLapsed});
   Vm = VmState{};
-  Vm.Born = Born;
+  Vm.Incarnation = Incarnation;
 }
 
-int FakeVms::percentNow() const {
+int FakeVms::progressPercent() const {
   // Moves as long as time passes; no test looks at how far a run is.
-  return static_cast<int>(clock().count() / 100 % 100);
+  return static_cast<int>(vmTime().count() / 100 % 100);
 }
 
-FakeVms::VmState *FakeVms::reach(const VmTarget &Vm, OrderAnswer &Answer) {
-  Answer.VmClock = clock();
+FakeVms::VmState *FakeVms::admitCall(const VmTarget &Vm, OrderAnswer &Answer) {
+  Answer.VmClock = vmTime();
   const auto Found = Vms_.find(Vm.Id);
   if (Found == Vms_.end()) {
     Answer.Outcome = OrderOutcome::OtherInstance;
@@ -53,121 +53,129 @@
   return &State;
 }
 
-void FakeVms::end(const std::string &Id, const TaskRun &Run, RunOutcome How) {
+void FakeVms::endRun(const std::string &Id, const TaskRun &Run,
+                     RunOutcome Outcome) {
   VmState &Vm = Vms_[Id];
   if (Vm.Running.erase(Run) == 0)
     return;
-  std::int64_t &Ended = Vm.Ended[Run.Task];
-  Ended = std::max(Ended, Run.Number);
-  Vm.EndedAt[Vm.NextEnd] = Home_.Time.now();
-  Vm.Ends.push_back(TaskEnd{Vm.NextEnd++, Run, How, ""});
-  History.push_back(RunEvent{Home_.Time.now(), Id, Run, false, How});
+  std::int64_t &HighestEndedRun = Vm.HighestEndedRun[Run.Task];
+  HighestEndedRun = std::max(HighestEndedRun, Run.Number);
+  Vm.EndTimes[Vm.NextEndNumber] = ControlLoop_.MonotonicClock.now();
+  Vm.Ends.push_back(TaskEnd{Vm.NextEndNumber++, Run, Outcome, ""});
+  RunHistory.push_back(
+      RunEvent{ControlLoop_.MonotonicClock.now(), Id, Run, false, Outcome});
 }
 
-void FakeVms::lapse(const std::string &Id) {
+void FakeVms::expireLease(const std::string &Id) {
   VmState &Vm = Vms_[Id];
-  if (clock() < Vm.LeaseUntil)
+  if (vmTime() < Vm.LeaseUntil)
     return;
   const auto Running = Vm.Running;
   for (const auto &[Run, EndsAt] : Running)
-    end(Id, Run, RunOutcome::LeaseLapsed);
-  Vm.EndedAt.clear();
+    endRun(Id, Run, RunOutcome::LeaseLapsed);
+  Vm.EndTimes.clear();
 }
 
 HoldAnswer FakeVms::hold(const VmTarget &Vm, const HoldOrder &Order) {
-  OrderAnswer Reach;
-  HoldAnswer Out;
-  VmState *State = reach(Vm, Reach);
-  Out.Outcome = Reach.Outcome;
+  OrderAnswer Admission;
+  HoldAnswer Answer;
+  VmState *State = admitCall(Vm, Admission);
+  Answer.Outcome = Admission.Outcome;
   if (State == nullptr)
-    return Out;
-  Out.VmClock = clock();
-  Out.Incarnation = State->Born;
+    return Answer;
+  Answer.VmClock = vmTime();
+  Answer.Incarnation = State->Incarnation;
   State->LeaseUntil = std::max(State->LeaseUntil,
-                               std::min(Order.LeaseUntil, clock() + MaxLease));
-  Home_.after(State->LeaseUntil - clock(), [this, Id = Vm.Id] { lapse(Id); });
+                               std::min(Order.LeaseUntil, vmTime() + MaxLease));
+  ControlLoop_.after(State->LeaseUntil - vmTime(),
+                     [this, Id = Vm.Id] { expireLease(Id); });
   std::erase_if(State->Ends, [&](const TaskEnd &End) {
     if (End.Number > Order.AcknowledgedEnd)
       return false;
-    const auto At = State->EndedAt.find(End.Number);
-    if (End.Outcome == RunOutcome::Done && At != State->EndedAt.end())
-      AcknowledgedDone.emplace_back(End.Run.Task, At->second);
+    const auto EndTime = State->EndTimes.find(End.Number);
+    if (End.Outcome == RunOutcome::Done && EndTime != State->EndTimes.end())
+      AcknowledgedCompletions.emplace_back(End.Run.Task, EndTime->second);
     return true;
   });
   for (const auto &[Run, EndsAt] : State->Running)
-    Out.Running.push_back(RunningTask{Run, "", percentNow(), 0});
-  Out.Ends = State->Ends;
-  return Out;
+    Answer.Running.push_back(RunningTask{Run, "", progressPercent(), 0});
+  Answer.Ends = State->Ends;
+  return Answer;
 }
 
 OrderAnswer FakeVms::start(const VmTarget &Vm, const StartOrder &Order) {
-  OrderAnswer Out;
-  VmState *State = reach(Vm, Out);
+  OrderAnswer Answer;
+  VmState *State = admitCall(Vm, Answer);
   if (State == nullptr)
-    return Out;
-  if (Order.LeaseUntil <= clock()) {
-    Out.Outcome = OrderOutcome::LeaseOver;
-    return Out;
+    return Answer;
+  if (Order.LeaseUntil <= vmTime()) {
+    Answer.Outcome = OrderOutcome::LeaseOver;
+    return Answer;
   }
   State->LeaseUntil = std::max(State->LeaseUntil,
-                               std::min(Order.LeaseUntil, clock() + MaxLease));
+                               std::min(Order.LeaseUntil, vmTime() + MaxLease));
   if (State->Running.contains(Order.Run))
-    return Out;
-  const auto Ended = State->Ended.find(Order.Run.Task);
-  if (Ended != State->Ended.end() && Order.Run.Number <= Ended->second) {
-    Out.Outcome = OrderOutcome::OldRun;
-    return Out;
+    return Answer;
+  const auto HighestEndedRun = State->HighestEndedRun.find(Order.Run.Task);
+  if (HighestEndedRun != State->HighestEndedRun.end() &&
+      Order.Run.Number <= HighestEndedRun->second) {
+    Answer.Outcome = OrderOutcome::OldRun;
+    return Answer;
   }
-  const auto [Length, How] =
-      Plan ? Plan(Order.Run) : std::pair{UsualRun, RunOutcome::Done};
-  State->Running[Order.Run] = Home_.Time.now() + Length;
-  History.push_back(
-      RunEvent{Home_.Time.now(), Vm.Id, Order.Run, true, RunOutcome::Done});
-  Home_.after(Length, [this, Id = Vm.Id, Run = Order.Run, How = How] {
-    end(Id, Run, How);
-  });
-  Home_.after(State->LeaseUntil - clock(), [this, Id = Vm.Id] { lapse(Id); });
-  return Out;
+  const auto [RunTime, Outcome] =
+      PlanRun ? PlanRun(Order.Run)
+              : std::pair{DefaultRunTime, RunOutcome::Done};
+  State->Running[Order.Run] = ControlLoop_.MonotonicClock.now() + RunTime;
+  RunHistory.push_back(RunEvent{ControlLoop_.MonotonicClock.now(), Vm.Id,
+                                Order.Run, true, RunOutcome::Done});
+  ControlLoop_.after(RunTime,
+                     [this, Id = Vm.Id, Run = Order.Run, Outcome = Outcome] {
+                       endRun(Id, Run, Outcome);
+                     });
+  ControlLoop_.after(State->LeaseUntil - vmTime(),
+                     [this, Id = Vm.Id] { expireLease(Id); });
+  return Answer;
 }
 
 OrderAnswer FakeVms::stop(const VmTarget &Vm, const TaskRun &Run) {
-  OrderAnswer Out;
-  VmState *State = reach(Vm, Out);
+  OrderAnswer Answer;
+  VmState *State = admitCall(Vm, Answer);
   if (State == nullptr)
-    return Out;
-  std::int64_t &Ended = State->Ended[Run.Task];
-  Ended = std::max(Ended, Run.Number);
-  end(Vm.Id, Run, RunOutcome::Stopped);
-  return Out;
+    return Answer;
+  std::int64_t &HighestEndedRun = State->HighestEndedRun[Run.Task];
+  HighestEndedRun = std::max(HighestEndedRun, Run.Number);
+  endRun(Vm.Id, Run, RunOutcome::Stopped);
+  return Answer;
 }
 
 template <typename T>
 void FakeVmCalls::send(const std::string &Vm, milliseconds Timeout,
-                       std::function<T()> Do,
+                       std::function<T()> Execute,
                        std::function<void(Result<T>)> Done) {
-  const OrderFate Fate = Decide ? Decide(Vm) : OrderFate{};
-  if (Fate.What == OrderFate::Answered) {
-    Home_.after(Latency, [this, Do, Done] {
-      T Answer = Do();
-      Home_.after(Latency, [Done, Answer] { Done(Answer); });
+  const VmCallFault Fault = NextFault ? NextFault(Vm) : VmCallFault{};
+  if (Fault.Kind == VmCallFault::None) {
+    ControlLoop_.after(Latency, [this, Execute, Done] {
+      T Answer = Execute();
+      ControlLoop_.after(Latency, [Done, Answer] { Done(Answer); });
     });
     return;
   }
-  if (Fate.What == OrderFate::AnswerLost)
-    Home_.after(Latency, [Do] { Do(); });
-  if (Fate.What == OrderFate::Late)
-    Home_.after(Fate.Delay, [Do] { Do(); });
-  Home_.after(Timeout, [Done] { Done(failure(ErrorCode::Timeout)); });
+  if (Fault.Kind == VmCallFault::ResponseLost)
+    ControlLoop_.after(Latency, [Execute] { Execute(); });
+  if (Fault.Kind == VmCallFault::Delayed)
+    ControlLoop_.after(Fault.Delay, [Execute] { Execute(); });
+  ControlLoop_.after(Timeout, [Done] { Done(failure(ErrorCode::Timeout)); });
 }
 
 void FakeVmCalls::start(const VmTarget &Vm, const StartOrder &Order,
                         milliseconds Timeout, OrderDone Done) {
-  ++Starts;
+  ++StartCalls;
   send<OrderAnswer>(
       Vm.Id, Timeout,
       [this, Vm, Order] {
-        return Unhealthy ? OrderAnswer{OrderOutcome::Unhealthy, std::nullopt}
-                         : Vms_.start(Vm, Order);
+        return RefuseStartsAndStops
+                   ? OrderAnswer{OrderOutcome::Unhealthy, std::nullopt}
+                   : Vms_.start(Vm, Order);
       },
       std::move(Done));
 }
@@ -177,29 +185,30 @@
   send<OrderAnswer>(
       Vm.Id, Timeout,
       [this, Vm, Run] {
-        return Unhealthy ? OrderAnswer{OrderOutcome::Unhealthy, std::nullopt}
-                         : Vms_.stop(Vm, Run);
+        return RefuseStartsAndStops
+                   ? OrderAnswer{OrderOutcome::Unhealthy, std::nullopt}
+                   : Vms_.stop(Vm, Run);
       },
       std::move(Done));
 }
 
 void FakeVmCalls::pace(const VmTarget &, const TaskRun &, int, milliseconds,
                        OrderDone Done) {
-  Home_.after(Latency, [Done] { Done(OrderAnswer{}); });
+  ControlLoop_.after(Latency, [Done] { Done(OrderAnswer{}); });
 }
 
 void FakeVmCalls::hold(const VmTarget &Vm, const HoldOrder &Order,
                        milliseconds Timeout, HoldDone Done) {
-  ++Holds;
-  FreshHolds += Vm.FreshConnection;
-  const milliseconds Wait = std::min(Order.Wait, HoldStep);
-  Home_.after(Wait, [this, Vm, Order, Timeout, Done] {
+  ++HoldCalls;
+  FreshConnectionHolds += Vm.FreshConnection;
+  const milliseconds Wait = std::min(Order.Wait, MaxHoldWait);
+  ControlLoop_.after(Wait, [this, Vm, Order, Timeout, Done] {
     send<HoldAnswer>(
         Vm.Id, Timeout,
         [this, Vm, Order] {
           HoldAnswer Refusal;
           Refusal.Outcome = OrderOutcome::Unhealthy;
-          return HoldsUnhealthy ? Refusal : Vms_.hold(Vm, Order);
+          return RefuseHolds ? Refusal : Vms_.hold(Vm, Order);
         },
         Done);
   });
