--- a/programs/cuminroad/Command.h
+++ b/programs/cuminroad/Command.h
@@ -8,7 +8,7 @@
 
 #include <tclap/CmdLine.h>
 
-#include "Remote.h"
+#include "DaemonClient.h"
 
 namespace cuminroad::cli {
 
@@ -34,21 +34,21 @@
   virtual std::string_view name() const = 0;
   virtual std::string_view summary() const = 0;
   /// Adds the subcommand's own options.
-  virtual void declare(TCLAP::CmdLine &Line) = 0;
-  virtual int run(Remote &Daemons, bool Json) = 0;
+  virtual void addOptions(TCLAP::CmdLine &Line) = 0;
+  virtual int run(DaemonClient &Client, bool JsonOutput) = 0;
 };
 
 /// \returns all subcommands, in the order of the help text.
 std::vector<std::unique_ptr<Command>> makeCommands();
 std::vector<std::unique_ptr<Command>> makeContractCommands();
-std::vector<std::unique_ptr<Command>> makeWorkCommands();
-std::vector<std::unique_ptr<Command>> makeViewCommands();
+std::vector<std::unique_ptr<Command>> makeWorkloadCommands();
+std::vector<std::unique_ptr<Command>> makeInspectionCommands();
 std::unique_ptr<Command> makeExplainCommand();
 
 /// Prints an answer as it is, or the failure. \returns the exit code.
-int report(const Result<Reply> &Answer);
+int printResponse(const Result<DaemonResponse> &Response);
 /// \returns the exit code of an answer.
-int exitCode(const Result<Reply> &Answer);
+int exitCode(const Result<DaemonResponse> &Response);
 
 } // namespace cuminroad::cli
 
--- a/programs/cuminroad/ContractCommands.cpp
+++ b/programs/cuminroad/ContractCommands.cpp
@@ -43,13 +43,14 @@
              Terms.value("urgent", false) ? ", urgent" : "");
 }
 
-int reportChange(const Result<Reply> &Answer, bool Json) {
-  if (!Answer || !Answer->ok() || Json) {
-    const int Code = report(Answer);
-    return Code == ExitOk && Answer->Status != StatusAccepted ? ExitPending
-                                                              : Code;
-  }
-  const nlohmann::json Body = Answer->json();
+int printChangeResponse(const Result<DaemonResponse> &Response,
+                        bool JsonOutput) {
+  if (!Response || !Response->ok() || JsonOutput) {
+    const int Code = printResponse(Response);
+    return Code == ExitOk && Response->Status != StatusAccepted ? ExitPending
+                                                                : Code;
+  }
+  const nlohmann::json Body = Response->json();
   if (Body.at("accepted").get<bool>()) {
     fmt::print("accepted and {}: ",
                Body.at("in_force_everywhere").get<bool>()
@@ -67,27 +68,27 @@
 /// Creates or changes: both write terms, and differ in the version expected.
 class PutContract final : public Command {
 public:
-  explicit PutContract(bool New) : New_(New) {}
+  explicit PutContract(bool IsCreate) : IsCreate_(IsCreate) {}
   std::string_view name() const override {
-    return New_ ? "contract create" : "contract change";
+    return IsCreate_ ? "contract create" : "contract change";
   }
   std::string_view summary() const override {
-    return New_ ? "create a customer's contract" : "change a contract";
+    return IsCreate_ ? "create a customer's contract" : "change a contract";
   }
-  void declare(TCLAP::CmdLine &Line) override {
+  void addOptions(TCLAP::CmdLine &Line) override {
     Customer_ = std::make_unique<NameArg>("customer", "the customer", true, "",
                                           "CUSTOMER", Line);
     File_ = std::make_unique<TextArg>("", "file", "the terms, in JSON", true,
                                       "", "FILE", Line);
     Operator_ = std::make_unique<TextArg>("", "operator", "who asks for it",
                                           false, "", "NAME", Line);
-    if (!New_)
+    if (!IsCreate_)
       Version_ = std::make_unique<NumberArg>(
           "", "expect-version", "the version that you saw", true, 0, "N", Line);
     DryRun_ = std::make_unique<TCLAP::SwitchArg>(
         "", "dry-run", "show what would change, and change nothing", Line);
   }
-  int run(Remote &Daemons, bool Json) override {
+  int run(DaemonClient &Client, bool JsonOutput) override {
     const nlohmann::json Terms = nlohmann::json::parse(
         readFile(File_->getValue()), nullptr, false, true);
     if (Terms.is_discarded()) {
@@ -95,35 +96,36 @@
       return ExitUsage;
     }
     if (DryRun_->getValue())
-      return showDifference(Daemons, Terms);
+      return printDifference(Client, Terms);
     const nlohmann::json Body{
         {"expected_version", Version_ ? Version_->getValue() : 0},
         {"operator", Operator_->getValue()},
         {"terms", Terms}};
-    return reportChange(Daemons.call("PUT",
-                                     "/v1/contracts/" + Customer_->getValue(),
-                                     Body.dump()),
-                        Json);
+    return printChangeResponse(
+        Client.call("PUT", "/v1/contracts/" + Customer_->getValue(),
+                    Body.dump()),
+        JsonOutput);
   }
 
 private:
-  int showDifference(Remote &Daemons, const nlohmann::json &Terms) {
-    const auto Answer =
-        Daemons.call("GET", "/v1/contracts/" + Customer_->getValue());
-    if (!Answer || (!Answer->ok() && Answer->Status != 404))
-      return report(Answer);
-    const nlohmann::json Old =
-        Answer->ok() ? Answer->json().at("terms") : nlohmann::json();
-    for (const auto &[Name, Value] : Terms.items()) {
-      const nlohmann::json Before =
-          Old.is_object() && Old.contains(Name) ? Old[Name] : nlohmann::json();
-      if (Before != Value)
-        fmt::print("{}: {} -> {}\n", Name, Before.dump(), Value.dump());
+  int printDifference(DaemonClient &Client, const nlohmann::json &Terms) {
+    const auto Response =
+        Client.call("GET", "/v1/contracts/" + Customer_->getValue());
+    if (!Response || (!Response->ok() && Response->Status != 404))
+      return printResponse(Response);
+    const nlohmann::json OldTerms =
+        Response->ok() ? Response->json().at("terms") : nlohmann::json();
+    for (const auto &[Name, NewValue] : Terms.items()) {
+      const nlohmann::json OldValue =
+          OldTerms.is_object() && OldTerms.contains(Name) ? OldTerms[Name]
+                                                          : nlohmann::json();
+      if (OldValue != NewValue)
+        fmt::print("{}: {} -> {}\n", Name, OldValue.dump(), NewValue.dump());
     }
     return ExitOk;
   }
 
-  bool New_;
+  bool IsCreate_;
   std::unique_ptr<NameArg> Customer_;
   std::unique_ptr<TextArg> File_;
   std::unique_ptr<TextArg> Operator_;
@@ -137,7 +139,7 @@
   std::string_view summary() const override {
     return "end a contract; what runs is kept, nothing new starts";
   }
-  void declare(TCLAP::CmdLine &Line) override {
+  void addOptions(TCLAP::CmdLine &Line) override {
     Customer_ = std::make_unique<NameArg>("customer", "the customer", true, "",
                                           "CUSTOMER", Line);
     Operator_ = std::make_unique<TextArg>("", "operator", "who asks for it",
@@ -145,13 +147,13 @@
     Version_ = std::make_unique<NumberArg>(
         "", "expect-version", "the version that you saw", true, 0, "N", Line);
   }
-  int run(Remote &Daemons, bool Json) override {
+  int run(DaemonClient &Client, bool JsonOutput) override {
     const nlohmann::json Body{{"expected_version", Version_->getValue()},
                               {"operator", Operator_->getValue()}};
-    return reportChange(Daemons.call("DELETE",
-                                     "/v1/contracts/" + Customer_->getValue(),
-                                     Body.dump()),
-                        Json);
+    return printChangeResponse(
+        Client.call("DELETE", "/v1/contracts/" + Customer_->getValue(),
+                    Body.dump()),
+        JsonOutput);
   }
 
 private:
@@ -166,13 +168,13 @@
   std::string_view summary() const override {
     return "show a contract with its history, as JSON";
   }
-  void declare(TCLAP::CmdLine &Line) override {
+  void addOptions(TCLAP::CmdLine &Line) override {
     Customer_ = std::make_unique<NameArg>("customer", "the customer", true, "",
                                           "CUSTOMER", Line);
   }
-  int run(Remote &Daemons, bool) override {
-    return report(
-        Daemons.call("GET", "/v1/contracts/" + Customer_->getValue()));
+  int run(DaemonClient &Client, bool) override {
+    return printResponse(
+        Client.call("GET", "/v1/contracts/" + Customer_->getValue()));
   }
 
 private:
@@ -183,12 +185,12 @@
 public:
   std::string_view name() const override { return "contract list"; }
   std::string_view summary() const override { return "list all contracts"; }
-  void declare(TCLAP::CmdLine &) override {}
-  int run(Remote &Daemons, bool Json) override {
-    const auto Answer = Daemons.call("GET", "/v1/contracts");
-    if (!Answer || !Answer->ok() || Json)
-      return report(Answer);
-    const nlohmann::json Body = Answer->json();
+  void addOptions(TCLAP::CmdLine &) override {}
+  int run(DaemonClient &Client, bool JsonOutput) override {
+    const auto Response = Client.call("GET", "/v1/contracts");
+    if (!Response || !Response->ok() || JsonOutput)
+      return printResponse(Response);
+    const nlohmann::json Body = Response->json();
     for (const nlohmann::json &Contract : Body.at("contracts"))
       printContract(Contract);
     return ExitOk;
@@ -202,23 +204,23 @@
   std::string_view summary() const override {
     return "show which daemon applies which version of each contract";
   }
-  void declare(TCLAP::CmdLine &) override {}
-  int run(Remote &Daemons, bool) override {
-    const auto State = Daemons.call("GET", "/v1/state");
+  void addOptions(TCLAP::CmdLine &) override {}
+  int run(DaemonClient &Client, bool) override {
+    const auto State = Client.call("GET", "/v1/state");
     if (!State || !State->ok())
-      return report(State);
+      return printResponse(State);
     int Code = ExitOk;
     const nlohmann::json Body = State->json();
     for (const nlohmann::json &Member : Body.at("daemons")) {
       const std::string Server = Member.at("http");
-      const auto Answer = Daemons.callAt(Server, "GET", "/v1/contracts");
+      const auto Response = Client.callServer(Server, "GET", "/v1/contracts");
       fmt::print("{}:", Member.at("name").get<std::string>());
-      if (!Answer || !Answer->ok()) {
+      if (!Response || !Response->ok()) {
         fmt::print(" unreachable\n");
         Code = ExitUnknown;
         continue;
       }
-      const nlohmann::json Listing = Answer->json();
+      const nlohmann::json Listing = Response->json();
       for (const nlohmann::json &Contract : Listing.at("contracts"))
         fmt::print(" {}={}{}", Contract.at("customer").get<std::string>(),
                    Contract.at("version").get<std::int64_t>(),
@@ -232,14 +234,14 @@
 } // namespace
 
 std::vector<std::unique_ptr<Command>> makeContractCommands() {
-  std::vector<std::unique_ptr<Command>> Out;
-  Out.push_back(std::make_unique<PutContract>(true));
-  Out.push_back(std::make_unique<PutContract>(false));
-  Out.push_back(std::make_unique<RetireContract>());
-  Out.push_back(std::make_unique<ShowContract>());
-  Out.push_back(std::make_unique<ListContracts>());
-  Out.push_back(std::make_unique<ContractStatus>());
-  return Out;
+  std::vector<std::unique_ptr<Command>> Commands;
+  Commands.push_back(std::make_unique<PutContract>(true));
+  Commands.push_back(std::make_unique<PutContract>(false));
+  Commands.push_back(std::make_unique<RetireContract>());
+  Commands.push_back(std::make_unique<ShowContract>());
+  Commands.push_back(std::make_unique<ListContracts>());
+  Commands.push_back(std::make_unique<ContractStatus>());
+  return Commands;
 }
 
 } // namespace cuminroad::cli
--- a/programs/cuminroad/Remote.h
+++ b/programs/cuminroad/DaemonClient.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_PROGRAMS_CUMINROAD_REMOTE_H
-#define CUMINROAD_PROGRAMS_CUMINROAD_REMOTE_H
+#ifndef CUMINROAD_PROGRAMS_CUMINROAD_DAEMONCLIENT_H
+#define CUMINROAD_PROGRAMS_CUMINROAD_DAEMONCLIENT_H
 
 #include <memory>
 #include <string>
@@ -13,7 +13,7 @@
 namespace cuminroad::cli {
 
 /// A daemon's answer.
-struct Reply {
+struct DaemonResponse {
   int Status = 0;
   std::string Outcome;
   std::string Body;
@@ -24,18 +24,22 @@
 };
 
 /// Calls daemons and waits for their answers.
-class Remote {
+class DaemonClient {
 public:
   /// \param Servers "address:port" of daemons; a call goes to the first one
   /// that a connection can be made to.
-  Remote(std::vector<std::string> Servers, std::string Token);
+  DaemonClient(std::vector<std::string> Servers, std::string Token);
 
-  Result<Reply> call(const std::string &Method, const std::string &Path,
-                     const std::string &Body = {}, HttpHeaders Headers = {});
+  Result<DaemonResponse> call(const std::string &Method,
+                              const std::string &Path,
+                              const std::string &Body = {},
+                              HttpHeaders Headers = {});
   /// Calls one certain daemon.
-  Result<Reply> callAt(const std::string &Server, const std::string &Method,
-                       const std::string &Path, const std::string &Body = {},
-                       HttpHeaders Headers = {});
+  Result<DaemonResponse> callServer(const std::string &Server,
+                                    const std::string &Method,
+                                    const std::string &Path,
+                                    const std::string &Body = {},
+                                    HttpHeaders Headers = {});
   const std::vector<std::string> &servers() const { return Servers_; }
 
 private:
--- a/programs/cuminroad/ViewCommands.cpp
+++ b/programs/cuminroad/InspectionCommands.cpp
@@ -14,22 +14,24 @@
 
 /// \returns the state of every daemon that answers, by the member list of the
 /// first one.
-std::vector<nlohmann::json> readStates(Remote &Daemons, Result<Reply> &First) {
-  std::vector<nlohmann::json> Out;
-  First = Daemons.call("GET", "/v1/state");
-  if (!First || !First->ok())
-    return Out;
-  const nlohmann::json Body = First->json();
+std::vector<nlohmann::json> readStates(DaemonClient &Client,
+                                       Result<DaemonResponse> &FirstResponse) {
+  std::vector<nlohmann::json> DaemonStates;
+  FirstResponse = Client.call("GET", "/v1/state");
+  if (!FirstResponse || !FirstResponse->ok())
+    return DaemonStates;
+  const nlohmann::json Body = FirstResponse->json();
   for (const nlohmann::json &Member : Body.at("daemons")) {
-    const auto Answer = Daemons.callAt(Member.at("http"), "GET", "/v1/state");
-    if (Answer && Answer->ok())
-      Out.push_back(Answer->json());
+    const auto Response =
+        Client.callServer(Member.at("http"), "GET", "/v1/state");
+    if (Response && Response->ok())
+      DaemonStates.push_back(Response->json());
     else
-      Out.push_back({{"daemon", Member.at("name")},
-                     {"failure_domain", Member.at("failure_domain")},
-                     {"unreachable", true}});
+      DaemonStates.push_back({{"daemon", Member.at("name")},
+                              {"failure_domain", Member.at("failure_domain")},
+                              {"unreachable", true}});
   }
-  return Out;
+  return DaemonStates;
 }
 
 void printVms(const nlohmann::json &State) {
@@ -55,23 +57,24 @@
                Job.at("running").get<int>(), Job.at("ended").get<int>());
 }
 
-class Status final : public Command {
+class ShowStatus final : public Command {
 public:
   std::string_view name() const override { return "status"; }
   std::string_view summary() const override {
     return "show daemons, owners, VMs and jobs";
   }
-  void declare(TCLAP::CmdLine &) override {}
-  int run(Remote &Daemons, bool Json) override {
-    Result<Reply> First;
-    const std::vector<nlohmann::json> States = readStates(Daemons, First);
-    if (!First || !First->ok())
-      return report(First);
-    if (Json) {
-      fmt::print("{}\n", nlohmann::json(States).dump());
+  void addOptions(TCLAP::CmdLine &) override {}
+  int run(DaemonClient &Client, bool JsonOutput) override {
+    Result<DaemonResponse> FirstResponse;
+    const std::vector<nlohmann::json> DaemonStates =
+        readStates(Client, FirstResponse);
+    if (!FirstResponse || !FirstResponse->ok())
+      return printResponse(FirstResponse);
+    if (JsonOutput) {
+      fmt::print("{}\n", nlohmann::json(DaemonStates).dump());
       return ExitOk;
     }
-    for (const nlohmann::json &State : States)
+    for (const nlohmann::json &State : DaemonStates)
       print(State);
     return ExitOk;
   }
@@ -103,30 +106,30 @@
   std::string_view summary() const override {
     return "show the events of all daemons in causal order";
   }
-  void declare(TCLAP::CmdLine &Line) override {
-    Html_ = std::make_unique<TextArg>(
+  void addOptions(TCLAP::CmdLine &Line) override {
+    HtmlFile_ = std::make_unique<TextArg>(
         "", "html", "write a page with a lane for each process", false, "",
         "FILE", Line);
   }
-  int run(Remote &Daemons, bool Json) override {
-    Result<Reply> First = Daemons.call("GET", "/v1/state");
-    if (!First || !First->ok())
-      return report(First);
+  int run(DaemonClient &Client, bool JsonOutput) override {
+    Result<DaemonResponse> FirstResponse = Client.call("GET", "/v1/state");
+    if (!FirstResponse || !FirstResponse->ok())
+      return printResponse(FirstResponse);
     std::vector<TimelineEvent> Events;
-    const nlohmann::json Body = First->json();
+    const nlohmann::json Body = FirstResponse->json();
     for (const nlohmann::json &Member : Body.at("daemons")) {
-      const auto Answer =
-          Daemons.callAt(Member.at("http"), "GET", "/v1/events");
-      if (Answer && Answer->ok())
-        addEvents(Events, Answer->json());
+      const auto Response =
+          Client.callServer(Member.at("http"), "GET", "/v1/events");
+      if (Response && Response->ok())
+        addEvents(Events, Response->json());
       else
         fmt::print(stderr, "cuminroad: {} does not answer\n",
                    Member.at("name").get<std::string>());
     }
     sortCausally(Events);
-    if (!Html_->getValue().empty())
-      std::ofstream(Html_->getValue()) << renderHtml(Events);
-    else if (Json)
+    if (!HtmlFile_->getValue().empty())
+      std::ofstream(HtmlFile_->getValue()) << renderHtml(Events);
+    else if (JsonOutput)
       fmt::print("{}\n", renderJson(Events).dump());
     else
       fmt::print("{}", renderText(Events));
@@ -134,16 +137,16 @@
   }
 
 private:
-  std::unique_ptr<TextArg> Html_;
+  std::unique_ptr<TextArg> HtmlFile_;
 };
 
 } // namespace
 
-std::vector<std::unique_ptr<Command>> makeViewCommands() {
-  std::vector<std::unique_ptr<Command>> Out;
-  Out.push_back(std::make_unique<Status>());
-  Out.push_back(std::make_unique<ShowTimeline>());
-  return Out;
+std::vector<std::unique_ptr<Command>> makeInspectionCommands() {
+  std::vector<std::unique_ptr<Command>> Commands;
+  Commands.push_back(std::make_unique<ShowStatus>());
+  Commands.push_back(std::make_unique<ShowTimeline>());
+  return Commands;
 }
 
 } // namespace cuminroad::cli
--- a/programs/cuminroad/Timeline.cpp
+++ b/programs/cuminroad/Timeline.cpp
@@ -13,43 +13,43 @@
 
 constexpr std::uint64_t MicrosPerSecond = 1'000'000;
 
-std::string timeText(std::uint64_t Stamp) {
+std::string formatTime(std::uint64_t Stamp) {
   const auto Seconds = static_cast<std::time_t>(Stamp / MicrosPerSecond);
   return fmt::format("{:%H:%M:%S}.{:06}", fmt::gmtime(Seconds),
                      Stamp % MicrosPerSecond);
 }
 
 std::string escapeHtml(const std::string &Text) {
-  std::string Out;
-  for (const char Letter : Text) {
-    switch (Letter) {
+  std::string Escaped;
+  for (const char Character : Text) {
+    switch (Character) {
     case '<':
-      Out += "&lt;";
+      Escaped += "&lt;";
       break;
     case '>':
-      Out += "&gt;";
+      Escaped += "&gt;";
       break;
     case '&':
-      Out += "&amp;";
+      Escaped += "&amp;";
       break;
     case '"':
-      Out += "&quot;";
+      Escaped += "&quot;";
       break;
     default:
-      Out += Letter;
+      Escaped += Character;
     }
   }
-  return Out;
+  return Escaped;
 }
 
 } // namespace
 
 void addEvents(std::vector<TimelineEvent> &Events,
-               const nlohmann::json &Answer) {
-  const std::string Process = Answer.at("process");
-  for (const nlohmann::json &Each : Answer.at("events"))
-    Events.push_back(TimelineEvent{Each.at("stamp"), Process, Each.at("name"),
-                                   Each.at("subject"), Each.at("detail")});
+               const nlohmann::json &Response) {
+  const std::string Process = Response.at("process");
+  for (const nlohmann::json &Event : Response.at("events"))
+    Events.push_back(TimelineEvent{Event.at("stamp"), Process, Event.at("name"),
+                                   Event.at("subject"), Event.at("detail")});
 }
 
 void sortCausally(std::vector<TimelineEvent> &Events) {
@@ -61,50 +61,51 @@
 }
 
 std::string renderText(const std::vector<TimelineEvent> &Events) {
-  std::string Out;
-  for (const TimelineEvent &Each : Events)
-    fmt::format_to(std::back_inserter(Out), "{}  {:<10} {:<20} {} {}\n",
-                   timeText(Each.Stamp), Each.Process, Each.Name, Each.Subject,
-                   Each.Detail);
-  return Out;
+  std::string Text;
+  for (const TimelineEvent &Event : Events)
+    fmt::format_to(std::back_inserter(Text), "{}  {:<10} {:<20} {} {}\n",
+                   formatTime(Event.Stamp), Event.Process, Event.Name,
+                   Event.Subject, Event.Detail);
+  return Text;
 }
 
 nlohmann::json renderJson(const std::vector<TimelineEvent> &Events) {
-  nlohmann::json Out = nlohmann::json::array();
-  for (const TimelineEvent &Each : Events)
-    Out.push_back({{"stamp", Each.Stamp},
-                   {"process", Each.Process},
-                   {"name", Each.Name},
-                   {"subject", Each.Subject},
-                   {"detail", Each.Detail}});
-  return Out;
+  nlohmann::json Json = nlohmann::json::array();
+  for (const TimelineEvent &Event : Events)
+    Json.push_back({{"stamp", Event.Stamp},
+                    {"process", Event.Process},
+                    {"name", Event.Name},
+                    {"subject", Event.Subject},
+                    {"detail", Event.Detail}});
+  return Json;
 }
 
 std::string renderHtml(const std::vector<TimelineEvent> &Events) {
   std::set<std::string> Processes;
-  for (const TimelineEvent &Each : Events)
-    Processes.insert(Each.Process);
-  std::string Out =
+  for (const TimelineEvent &Event : Events)
+    Processes.insert(Event.Process);
+  std::string Html =
       "<!doctype html><meta charset=\"utf-8\"><title>cuminroad time "
       "line</title><style>body{font:13px sans-serif}table{border-collapse:"
       "collapse}td,th{border-left:1px solid #ccc;padding:1px 8px;text-align:"
       "left}tr:hover{background:#eef}small{color:#666}</style><table><tr><th>"
       "time (UTC)</th>";
   for (const std::string &Process : Processes)
-    Out += "<th>" + escapeHtml(Process) + "</th>";
-  Out += "</tr>\n";
-  for (const TimelineEvent &Each : Events) {
-    Out += "<tr><td>" + timeText(Each.Stamp) + "</td>";
+    Html += "<th>" + escapeHtml(Process) + "</th>";
+  Html += "</tr>\n";
+  for (const TimelineEvent &Event : Events) {
+    Html += "<tr><td>" + formatTime(Event.Stamp) + "</td>";
     for (const std::string &Process : Processes) {
-      Out += "<td>";
-      if (Process == Each.Process)
-        Out += fmt::format("{} {} <small>{}</small>", escapeHtml(Each.Name),
-                           escapeHtml(Each.Subject), escapeHtml(Each.Detail));
-      Out += "</td>";
+      Html += "<td>";
+      if (Process == Event.Process)
+        Html +=
+            fmt::format("{} {} <small>{}</small>", escapeHtml(Event.Name),
+                        escapeHtml(Event.Subject), escapeHtml(Event.Detail));
+      Html += "</td>";
     }
-    Out += "</tr>\n";
+    Html += "</tr>\n";
   }
-  return Out + "</table>\n";
+  return Html + "</table>\n";
 }
 
 } // namespace cuminroad::cli
--- a/programs/cuminroad/Timeline.h
+++ b/programs/cuminroad/Timeline.h
@@ -21,7 +21,7 @@
 
 /// Appends the events of one daemon's answer.
 void addEvents(std::vector<TimelineEvent> &Events,
-               const nlohmann::json &Answer);
+               const nlohmann::json &Response);
 /// Sorts by stamp: a cause has a smaller stamp than its effects, since stamps
 /// travel with the messages between daemons.
 void sortCausally(std::vector<TimelineEvent> &Events);
--- a/programs/cuminroad/WorkCommands.cpp
+++ b/programs/cuminroad/WorkloadCommands.cpp
@@ -19,7 +19,7 @@
   std::string_view summary() const override {
     return "send one service request and print its answer";
   }
-  void declare(TCLAP::CmdLine &Line) override {
+  void addOptions(TCLAP::CmdLine &Line) override {
     Customer_ = std::make_unique<NameArg>("customer", "the customer", true, "",
                                           "CUSTOMER", Line);
     Service_ = std::make_unique<NameArg>("service", "the service", true, "",
@@ -35,7 +35,7 @@
     Deadline_ = std::make_unique<NumberArg>("", "deadline-ms", "deadline",
                                             false, 0, "MS", Line);
   }
-  int run(Remote &Daemons, bool) override {
+  int run(DaemonClient &Client, bool) override {
     HttpHeaders Headers{
         {"X-Idempotent", Idempotent_->getValue() ? "true" : "false"}};
     if (!Key_->getValue().empty())
@@ -48,7 +48,7 @@
     const std::string Path =
         fmt::format("/v1/customers/{}/services/{}/requests",
                     Customer_->getValue(), Service_->getValue());
-    return report(Daemons.call("POST", Path, Body_->getValue(), Headers));
+    return printResponse(Client.call("POST", Path, Body_->getValue(), Headers));
   }
 
 private:
@@ -67,9 +67,9 @@
   std::string_view summary() const override {
     return "get a ticket for a request that may run only once";
   }
-  void declare(TCLAP::CmdLine &) override {}
-  int run(Remote &Daemons, bool) override {
-    return report(Daemons.call("POST", "/v1/tickets"));
+  void addOptions(TCLAP::CmdLine &) override {}
+  int run(DaemonClient &Client, bool) override {
+    return printResponse(Client.call("POST", "/v1/tickets"));
   }
 };
 
@@ -77,15 +77,15 @@
 public:
   std::string_view name() const override { return "job submit"; }
   std::string_view summary() const override { return "submit a job"; }
-  void declare(TCLAP::CmdLine &Line) override {
+  void addOptions(TCLAP::CmdLine &Line) override {
     File_ = std::make_unique<TextArg>("", "file", "the job, in JSON", true, "",
                                       "FILE", Line);
   }
-  int run(Remote &Daemons, bool) override {
+  int run(DaemonClient &Client, bool) override {
     std::ifstream File(File_->getValue());
     std::stringstream Text;
     Text << File.rdbuf();
-    return report(Daemons.call("POST", "/v1/jobs", Text.str()));
+    return printResponse(Client.call("POST", "/v1/jobs", Text.str()));
   }
 
 private:
@@ -93,25 +93,25 @@
 };
 
 /// Shows or cancels a job: both name it and print the answer.
-class OneJob final : public Command {
+class ShowOrCancelJob final : public Command {
 public:
-  explicit OneJob(bool Cancel) : Cancel_(Cancel) {}
+  explicit ShowOrCancelJob(bool IsCancel) : IsCancel_(IsCancel) {}
   std::string_view name() const override {
-    return Cancel_ ? "job cancel" : "job show";
+    return IsCancel_ ? "job cancel" : "job show";
   }
   std::string_view summary() const override {
-    return Cancel_ ? "cancel a job" : "show a job, and why it waits";
+    return IsCancel_ ? "cancel a job" : "show a job, and why it waits";
   }
-  void declare(TCLAP::CmdLine &Line) override {
+  void addOptions(TCLAP::CmdLine &Line) override {
     Id_ = std::make_unique<NameArg>("id", "the job", true, "", "ID", Line);
   }
-  int run(Remote &Daemons, bool) override {
-    return report(Daemons.call(Cancel_ ? "DELETE" : "GET",
-                               "/v1/jobs/" + Id_->getValue()));
+  int run(DaemonClient &Client, bool) override {
+    return printResponse(Client.call(IsCancel_ ? "DELETE" : "GET",
+                                     "/v1/jobs/" + Id_->getValue()));
   }
 
 private:
-  bool Cancel_;
+  bool IsCancel_;
   std::unique_ptr<NameArg> Id_;
 };
 
@@ -121,19 +121,20 @@
   std::string_view summary() const override {
     return "give a VM no new work and move what can be moved";
   }
-  void declare(TCLAP::CmdLine &Line) override {
+  void addOptions(TCLAP::CmdLine &Line) override {
     Vm_ = std::make_unique<NameArg>("vm", "the VM", true, "", "VM", Line);
   }
-  int run(Remote &Daemons, bool) override {
+  int run(DaemonClient &Client, bool) override {
     // Each daemon knows the VMs of its own failure domain.
-    Result<Reply> Last = failure(ErrorCode::ConnectFailed, "no server given");
-    for (const std::string &Server : Daemons.servers()) {
-      Last = Daemons.callAt(Server, "POST",
-                            "/v1/vms/" + Vm_->getValue() + "/drain");
-      if (Last && Last->ok())
+    Result<DaemonResponse> Response =
+        failure(ErrorCode::ConnectFailed, "no server given");
+    for (const std::string &Server : Client.servers()) {
+      Response = Client.callServer(Server, "POST",
+                                   "/v1/vms/" + Vm_->getValue() + "/drain");
+      if (Response && Response->ok())
         break;
     }
-    return report(Last);
+    return printResponse(Response);
   }
 
 private:
@@ -142,15 +143,15 @@
 
 } // namespace
 
-std::vector<std::unique_ptr<Command>> makeWorkCommands() {
-  std::vector<std::unique_ptr<Command>> Out;
-  Out.push_back(std::make_unique<SendRequest>());
-  Out.push_back(std::make_unique<IssueTicket>());
-  Out.push_back(std::make_unique<SubmitJob>());
-  Out.push_back(std::make_unique<OneJob>(false));
-  Out.push_back(std::make_unique<OneJob>(true));
-  Out.push_back(std::make_unique<DrainVm>());
-  return Out;
+std::vector<std::unique_ptr<Command>> makeWorkloadCommands() {
+  std::vector<std::unique_ptr<Command>> Commands;
+  Commands.push_back(std::make_unique<SendRequest>());
+  Commands.push_back(std::make_unique<IssueTicket>());
+  Commands.push_back(std::make_unique<SubmitJob>());
+  Commands.push_back(std::make_unique<ShowOrCancelJob>(false));
+  Commands.push_back(std::make_unique<ShowOrCancelJob>(true));
+  Commands.push_back(std::make_unique<DrainVm>());
+  return Commands;
 }
 
 } // namespace cuminroad::cli
--- a/programs/cuminroad/main.cpp
+++ b/programs/cuminroad/main.cpp
@@ -18,19 +18,19 @@
 void printHelp(const std::vector<std::unique_ptr<Command>> &Commands) {
   fmt::print("usage: cuminroad COMMAND [OPTIONS]\n\n"
              "Commands (each with --help):\n");
-  for (const auto &Each : Commands)
-    fmt::print("  {:<18} {}\n", Each->name(), Each->summary());
+  for (const auto &Candidate : Commands)
+    fmt::print("  {:<18} {}\n", Candidate->name(), Candidate->summary());
   fmt::print("\nEvery command takes --server ADDRESS:PORT (several with "
              "commas), --token TOKEN\n(or CUMINROAD_TOKEN) and --output "
              "text|json.\n");
 }
 
-std::vector<std::string> splitCommas(const std::string &Text) {
-  std::vector<std::string> Out;
+std::vector<std::string> splitAtCommas(const std::string &Text) {
+  std::vector<std::string> Parts;
   std::stringstream Stream(Text);
   for (std::string Part; std::getline(Stream, Part, ',');)
-    Out.push_back(Part);
-  return Out;
+    Parts.push_back(Part);
+  return Parts;
 }
 
 std::string fromEnvironment(const char *Name, const char *Default) {
@@ -39,8 +39,8 @@
 }
 
 /// Parses the options behind the command's name and runs it.
-int runCommand(Command &Chosen, std::vector<std::string> Words) {
-  TCLAP::CmdLine Line(std::string(Chosen.summary()), ' ', "0.1");
+int runCommand(Command &Selected, std::vector<std::string> Arguments) {
+  TCLAP::CmdLine Line(std::string(Selected.summary()), ' ', "0.1");
   TCLAP::ValueArg<std::string> Server(
       "", "server", "daemons to call, the first reachable one is taken", false,
       fromEnvironment("CUMINROAD_SERVER", DefaultServer), "ADDRESS:PORT,...",
@@ -52,44 +52,49 @@
   TCLAP::ValuesConstraint<std::string> Allowed(Formats);
   TCLAP::ValueArg<std::string> Output("", "output", "form of the output", false,
                                       "text", &Allowed, Line);
-  Chosen.declare(Line);
+  Selected.addOptions(Line);
   // TCLAP would end the process with a code of its own.
   Line.setExceptionHandling(false);
   try {
-    Line.parse(Words);
+    Line.parse(Arguments);
   } catch (const TCLAP::ExitException &End) {
     return End.getExitStatus();
-  } catch (const TCLAP::ArgException &Fault) {
-    fmt::print(stderr, "cuminroad: {} {}\n", Fault.error(), Fault.argId());
+  } catch (const TCLAP::ArgException &ParseError) {
+    fmt::print(stderr, "cuminroad: {} {}\n", ParseError.error(),
+               ParseError.argId());
     return ExitUsage;
   }
-  Remote Daemons(splitCommas(Server.getValue()), Token.getValue());
-  return Chosen.run(Daemons, Output.getValue() == "json");
+  DaemonClient Client(splitAtCommas(Server.getValue()), Token.getValue());
+  return Selected.run(Client, Output.getValue() == "json");
 }
 
 } // namespace
 
 int main(int Argc, char **Argv) {
   const auto Commands = makeCommands();
-  std::vector<std::string> Words(Argv + 1, Argv + Argc);
-  if (Words.empty() || Words[0] == "--help" || Words[0] == "help") {
+  std::vector<std::string> Arguments(Argv + 1, Argv + Argc);
+  if (Arguments.empty() || Arguments[0] == "--help" || Arguments[0] == "help") {
     printHelp(Commands);
-    return Words.empty() ? ExitUsage : ExitOk;
+    return Arguments.empty() ? ExitUsage : ExitOk;
   }
-  for (const auto &Each : Commands) {
-    const bool TwoWords = Each->name().find(' ') != std::string_view::npos;
-    const std::size_t Used = TwoWords ? 2 : 1;
-    if (Words.size() < Used)
+  for (const auto &Candidate : Commands) {
+    const bool HasTwoWords =
+        Candidate->name().find(' ') != std::string_view::npos;
+    const std::size_t NameWords = HasTwoWords ? 2 : 1;
+    if (Arguments.size() < NameWords)
       continue;
-    const std::string Name = TwoWords ? Words[0] + " " + Words[1] : Words[0];
-    if (Name != Each->name())
+    const std::string Name =
+        HasTwoWords ? Arguments[0] + " " + Arguments[1] : Arguments[0];
+    if (Name != Candidate->name())
       continue;
-    std::vector<std::string> Rest{"cuminroad " + Name};
-    Rest.insert(Rest.end(), Words.begin() + static_cast<std::ptrdiff_t>(Used),
-                Words.end());
-    return runCommand(*Each, Rest);
+    std::vector<std::string> CommandArguments{"cuminroad " + Name};
+    CommandArguments.insert(CommandArguments.end(),
+                            Arguments.begin() +
+                                static_cast<std::ptrdiff_t>(NameWords),
+                            Arguments.end());
+    return runCommand(*Candidate, CommandArguments);
   }
   fmt::print(stderr, "cuminroad: unknown command '{}'; see cuminroad --help\n",
-             Words[0]);
+             Arguments[0]);
   return ExitUsage;
 }
--- a/programs/cuminroadd/FleetMain.cpp
+++ b/programs/cuminroadd/FleetDaemonMain.cpp
@@ -1,4 +1,4 @@
-#include "FleetMain.h"
+#include "FleetDaemonMain.h"
 
 #include <csignal>
 #include <thread>
@@ -19,11 +19,11 @@
 namespace {
 
 /// Events kept in memory for the time line.
-constexpr std::size_t EventsKept = 2000;
+constexpr std::size_t MaxEvents = 2000;
 
 /// Takes signals on a thread of its own until SIGTERM or SIGINT.
-void waitForStop(const sigset_t &Signals, EventLog &Events,
-                 const std::string &Name) {
+void waitForStopSignal(const sigset_t &Signals, EventLog &Events,
+                       const std::string &Name) {
   int Signal = 0;
   while (sigwait(&Signals, &Signal) == 0 && Signal == SIGHUP)
     Events.record(EventId::SettingsChanged, Name, "signal");
@@ -31,7 +31,7 @@
 
 } // namespace
 
-void serveFleet(const PlatformSettings &Config) {
+void runFleetDaemon(const PlatformSettings &Config) {
   sigset_t Signals;
   sigemptyset(&Signals);
   for (const int Signal : {SIGTERM, SIGINT, SIGHUP})
@@ -39,28 +39,29 @@
   pthread_sigmask(SIG_BLOCK, &Signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
 
-  const BootClock Time;
-  const SystemWallClock Wall;
-  EventLog Events(Config.Fleet.Name, EventsKept);
-  const auto Home = makeAsioLoop();
-  const auto Client = makeLoopHttpClient(*Home);
-  PlatformStore Store(Config.StoreAddress, *Client, Time);
+  const BootClock MonotonicClock;
+  const SystemWallClock SystemClock;
+  EventLog Events(Config.Fleet.Name, MaxEvents);
+  const auto ControlLoop = makeAsioLoop();
+  const auto Client = makeLoopHttpClient(*ControlLoop);
+  PlatformStore Store(Config.StoreAddress, *Client, MonotonicClock);
   PlatformVmCalls Vms(*Client);
   PlatformAdvisor Advisor(Config.AdvisorAddress, *Client);
-  const PlatformRecords Formats;
-  const auto Process =
-      makeFleetDaemon(FleetDependencies{Config.Fleet, Time, Wall, Events, *Home,
-                                        *Client, Store, Vms, Advisor, Formats},
-                      makeFrontGateway);
-  Process->start();
-  std::thread Waiter([&] {
-    waitForStop(Signals, Events, Config.Fleet.Name);
-    Home->post([&Process] { Process->stop(); });
+  const PlatformRecords RecordFormats;
+  const auto RunningDaemon = makeFleetDaemon(
+      FleetDependencies{Config.Fleet, MonotonicClock, SystemClock, Events,
+                        *ControlLoop, *Client, Store, Vms, Advisor,
+                        RecordFormats},
+      makeFrontGateway);
+  RunningDaemon->start();
+  std::thread SignalThread([&] {
+    waitForStopSignal(Signals, Events, Config.Fleet.Name);
+    ControlLoop->post([&RunningDaemon] { RunningDaemon->stop(); });
   });
-  Home->run();
+  ControlLoop->run();
   // The daemon may end without a signal; the waiter must end all the same.
-  pthread_kill(Waiter.native_handle(), SIGTERM);
-  Waiter.join();
+  pthread_kill(SignalThread.native_handle(), SIGTERM);
+  SignalThread.join();
 }
 
 } // namespace cuminroad
--- a/programs/cuminroadd/FleetMain.h
+++ b/programs/cuminroadd/FleetDaemonMain.h
@@ -1,12 +1,12 @@
-#ifndef CUMINROAD_PROGRAMS_CUMINROADD_FLEETMAIN_H
-#define CUMINROAD_PROGRAMS_CUMINROADD_FLEETMAIN_H
+#ifndef CUMINROAD_PROGRAMS_CUMINROADD_FLEETDAEMONMAIN_H
+#define CUMINROAD_PROGRAMS_CUMINROADD_FLEETDAEMONMAIN_H
 
 #include "cuminroad/platform/PlatformSettings.h"
 
 namespace cuminroad {
 
 /// Runs a daemon of the fleet on the platform until it is told to stop.
-void serveFleet(const PlatformSettings &Config);
+void runFleetDaemon(const PlatformSettings &Config);
 
 } // namespace cuminroad
 
--- a/programs/cuminroadd/main.cpp
+++ b/programs/cuminroadd/main.cpp
@@ -14,7 +14,7 @@
 #include "cuminroad/contract/Settings.h"
 #include "cuminroad/daemon/Daemon.h"
 
-#include "FleetMain.h"
+#include "FleetDaemonMain.h"
 
 using namespace cuminroad;
 
@@ -34,13 +34,14 @@
   return Text.str();
 }
 
-int reportFaults(const std::string &Path, const std::vector<Error> &Faults) {
-  for (const Error &Fault : Faults)
-    fmt::print(stderr, "{}: {}\n", Path, Fault.text());
+int printSettingsErrors(const std::string &Path,
+                        const std::vector<Error> &Errors) {
+  for (const Error &SettingsError : Errors)
+    fmt::print(stderr, "{}: {}\n", Path, SettingsError.text());
   return ExitBadSettings;
 }
 
-void serve(const Settings &Config) {
+void runDaemon(const Settings &Config) {
   // The signals are taken by one thread; all others inherit the block.
   sigset_t Signals;
   sigemptyset(&Signals);
@@ -48,29 +49,29 @@
   sigaddset(&Signals, SIGINT);
   pthread_sigmask(SIG_BLOCK, &Signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  const auto Process = makeDaemon(Config);
-  std::thread Waiter([&Signals, &Process] {
+  const auto RunningDaemon = makeDaemon(Config);
+  std::thread SignalThread([&Signals, &RunningDaemon] {
     int Signal = 0;
     sigwait(&Signals, &Signal);
-    Process->stop();
+    RunningDaemon->stop();
   });
-  Process->run();
+  RunningDaemon->run();
   // A daemon may end without a signal; the waiter must end all the same.
-  pthread_kill(Waiter.native_handle(), SIGTERM);
-  Waiter.join();
+  pthread_kill(SignalThread.native_handle(), SIGTERM);
+  SignalThread.join();
 }
 
 /// Parses the settings, and runs \p Serve unless they are only to be checked.
-template <typename Parse, typename Serve>
-int checkAndServe(const std::string &Path, bool CheckOnly, Parse ParseText,
-                  Serve Run) {
+template <typename Parser, typename Runner>
+int checkAndRun(const std::string &Path, bool CheckOnly, Parser ParseSettings,
+                Runner Run) {
   const auto Text = readFile(Path);
   if (!Text)
-    return reportFaults(
+    return printSettingsErrors(
         Path, {Error{ErrorCode::MissingField, "can't read the file " + Path}});
-  const auto Config = ParseText(*Text);
+  const auto Config = ParseSettings(*Text);
   if (!Config)
-    return reportFaults(Path, Config.error());
+    return printSettingsErrors(Path, Config.error());
   if (CheckOnly)
     fmt::print("{}: ok\n", Path);
   else
@@ -85,7 +86,7 @@
     TCLAP::CmdLine Line("cuminroadd: the daemon of an entry VM", ' ', "0.2");
     TCLAP::SwitchArg CheckOnly("", "check-settings",
                                "check the settings and end", Line);
-    TCLAP::SwitchArg OnPlatform(
+    TCLAP::SwitchArg UsePlatform(
         "", "platform",
         "run on the operator platform, with the settings file that it wrote",
         Line);
@@ -96,20 +97,20 @@
         false, "", "FILE", Line);
     Line.parse(Argc, Argv);
     std::string Path = File.getValue();
-    if (OnPlatform.getValue()) {
-      const char *Given = std::getenv(SettingsVariable);
-      if (Path.empty() && Given != nullptr)
-        Path = Given;
-      return checkAndServe(Path, CheckOnly.getValue(), parsePlatformSettings,
-                           serveFleet);
+    if (UsePlatform.getValue()) {
+      const char *SettingsPath = std::getenv(SettingsVariable);
+      if (Path.empty() && SettingsPath != nullptr)
+        Path = SettingsPath;
+      return checkAndRun(Path, CheckOnly.getValue(), parsePlatformSettings,
+                         runFleetDaemon);
     }
     if (Path.empty()) {
       fmt::print(stderr, "cuminroadd: a settings file is required\n");
       return ExitFailed;
     }
-    return checkAndServe(Path, CheckOnly.getValue(), parseSettings, serve);
-  } catch (const std::exception &Fault) {
-    fmt::print(stderr, "cuminroadd: {}\n", Fault.what());
+    return checkAndRun(Path, CheckOnly.getValue(), parseSettings, runDaemon);
+  } catch (const std::exception &Exception) {
+    fmt::print(stderr, "cuminroadd: {}\n", Exception.what());
     return ExitFailed;
   }
 }
