--- a/standins/StandinServer.cpp
+++ b/standins/StandinServer.cpp
@@ -7,31 +7,33 @@
 
 namespace cuminroad::standin {
 
-void reply(const HttpResponder &Respond, int Status,
-           const nlohmann::json &Body) {
+void respondJson(const HttpResponder &Respond, int Status,
+                 const nlohmann::json &Body) {
   Respond(HttpResponse{Status, {}, Body.dump()});
 }
 
-History::History(const std::string &Path) {
+HistoryFile::HistoryFile(const std::string &Path) {
   if (!Path.empty())
     File_ = std::fopen(Path.c_str(), "a");
 }
 
-History::~History() {
+HistoryFile::~HistoryFile() {
   if (File_ != nullptr)
     std::fclose(File_);
 }
 
-void History::write(nlohmann::json Line) {
+void HistoryFile::write(nlohmann::json Event) {
   if (File_ == nullptr)
     return;
   const auto Now = std::chrono::steady_clock::now().time_since_epoch();
-  Line["t"] = std::chrono::duration_cast<std::chrono::nanoseconds>(Now).count();
-  fmt::print(File_, "{}\n", Line.dump());
+  Event["t"] =
+      std::chrono::duration_cast<std::chrono::nanoseconds>(Now).count();
+  fmt::print(File_, "{}\n", Event.dump());
   std::fflush(File_);
 }
 
-int serve(int Port, RunnableLoop &Home, const HttpHandler &Handler) {
+int serveUntilSignal(int Port, RunnableLoop &ControlLoop,
+                     const HttpHandler &Handler) {
   sigset_t Signals;
   sigemptyset(&Signals);
   sigaddset(&Signals, SIGTERM);
@@ -43,22 +45,22 @@
   Options.MaxBodyBytes = 64 << 20;
   const auto Server =
       startHttpServer(Options, [&](HttpRequest Request, HttpResponder Respond) {
-        Home.post([&Handler, Request = std::move(Request),
-                   Respond = std::move(Respond)] {
+        ControlLoop.post([&Handler, Request = std::move(Request),
+                          Respond = std::move(Respond)] {
           try {
             Handler(Request, Respond);
-          } catch (const nlohmann::json::exception &Fault) {
-            reply(Respond, 400, {{"error", Fault.what()}});
+          } catch (const nlohmann::json::exception &Exception) {
+            respondJson(Respond, 400, {{"error", Exception.what()}});
           }
         });
       });
-  std::thread Waiter([&] {
+  std::thread SignalThread([&] {
     int Signal = 0;
     sigwait(&Signals, &Signal);
-    Home.stop();
+    ControlLoop.stop();
   });
-  Home.run();
-  Waiter.join();
+  ControlLoop.run();
+  SignalThread.join();
   return 0;
 }
 
--- a/standins/StandinServer.h
+++ b/standins/StandinServer.h
@@ -14,23 +14,24 @@
 namespace cuminroad::standin {
 
 /// Answers with a status and a JSON body.
-void reply(const HttpResponder &Respond, int Status,
-           const nlohmann::json &Body = nlohmann::json::object());
+void respondJson(const HttpResponder &Respond, int Status,
+                 const nlohmann::json &Body = nlohmann::json::object());
 
 /// Appends what a stand-in saw to a file, a JSON object a line, stamped with
 /// the machine's monotonic nanoseconds, which all processes share.
-class History {
+class HistoryFile {
 public:
-  explicit History(const std::string &Path);
-  ~History();
-  void write(nlohmann::json Line);
+  explicit HistoryFile(const std::string &Path);
+  ~HistoryFile();
+  void write(nlohmann::json Event);
 
 private:
   std::FILE *File_ = nullptr;
 };
 
 /// Serves on 127.0.0.1 until SIGTERM; the handler runs on the loop's thread.
-int serve(int Port, RunnableLoop &Home, const HttpHandler &Handler);
+int serveUntilSignal(int Port, RunnableLoop &ControlLoop,
+                     const HttpHandler &Handler);
 
 } // namespace cuminroad::standin
 
--- a/standins/backend/BackendVm.h
+++ b/standins/backend/BackendVm.h
@@ -14,7 +14,8 @@
 /// can be told to fail.
 class BackendVm {
 public:
-  BackendVm(const nlohmann::json &Spec, Loop &Home, History &Log);
+  BackendVm(const nlohmann::json &Spec, Loop &ControlLoop,
+            HistoryFile &History);
 
   /// Handles a call whose path below the VM is \p Path.
   void handle(const std::string &Path, const HttpRequest &Request,
@@ -45,50 +46,53 @@
     int MemoryGrowthMb = 0;
   };
 
-  static TaskKey keyOf(const nlohmann::json &Input);
-  static nlohmann::json keyJson(const TaskKey &Key);
-  bool checkFence(const nlohmann::json &Body, const HttpResponder &Respond);
-  void refuseFence(const HttpResponder &Respond);
-  void checkLease();
-  void watchLease();
-  void request(const HttpRequest &Request, const HttpResponder &Respond);
-  void claim(const nlohmann::json &Body, const HttpResponder &Respond);
-  void renew(const nlohmann::json &Body, const HttpResponder &Respond);
-  void start(const nlohmann::json &Body, const HttpResponder &Respond);
-  std::string startOne(const nlohmann::json &Input);
-  void stop(const nlohmann::json &Body, const HttpResponder &Respond);
-  void listRequests(const HttpResponder &Respond) const;
-  void throttle(const nlohmann::json &Body, const HttpResponder &Respond);
-  void control(const nlohmann::json &Body, const HttpResponder &Respond);
+  static TaskKey parseTaskKey(const nlohmann::json &Input);
+  static nlohmann::json taskKeyJson(const TaskKey &Key);
+  bool checkFencingToken(const nlohmann::json &Body,
+                         const HttpResponder &Respond);
+  void rejectFencingToken(const HttpResponder &Respond);
+  void stopTasksIfLeaseExpired();
+  void checkLeasePeriodically();
+  void handleServiceRequest(const HttpRequest &Request,
+                            const HttpResponder &Respond);
+  void claimLease(const nlohmann::json &Body, const HttpResponder &Respond);
+  void renewLease(const nlohmann::json &Body, const HttpResponder &Respond);
+  void startTasks(const nlohmann::json &Body, const HttpResponder &Respond);
+  std::string startTask(const nlohmann::json &Input);
+  void stopTasks(const nlohmann::json &Body, const HttpResponder &Respond);
+  void listRequestsInFlight(const HttpResponder &Respond) const;
+  void throttleTasks(const nlohmann::json &Body, const HttpResponder &Respond);
+  void setFaults(const nlohmann::json &Body, const HttpResponder &Respond);
   /// Takes a copy: the key may be the one of the entry that it erases.
   void endTask(TaskKey Key, bool Failed, bool Stopped);
   /// \returns all ends that are not acknowledged.
-  nlohmann::json reportEnds();
-  void answerRenewal();
-  bool hasNews() const;
-  void note(const char *What, const TaskKey &Key, const Task &Entry);
+  nlohmann::json reportTaskEnds();
+  void respondToRenewal();
+  bool hasUnreportedChanges() const;
+  void recordTaskEvent(const char *EventName, const TaskKey &Key,
+                       const Task &Entry);
 
-  Loop &Home_;
-  History &Log_;
+  Loop &ControlLoop_;
+  HistoryFile &History_;
   SteadyClock Clock_;
   std::string Id_;
   std::int64_t MilliCores_;
   std::int64_t MemoryMb_;
   std::int64_t Accelerators_;
   int Slots_;
-  int Busy_ = 0;
+  int BusySlots_ = 0;
   /// Customers of the requests in flight, by request.
-  std::map<std::string, std::string> InFlight_;
+  std::map<std::string, std::string> RequestCustomers_;
   Faults Faults_;
-  std::int64_t Fence_ = 0;
-  std::string Holder_;
-  TimePoint LeaseEnds_{};
+  std::int64_t FencingToken_ = 0;
+  std::string LeaseHolder_;
+  TimePoint LeaseExpiry_{};
   TimePoint RenewedAt_{};
   bool LeavingReported_ = false;
   std::map<TaskKey, Task> Tasks_;
   std::map<TaskKey, EndedTask> Ended_;
-  HttpResponder Renewal_;
-  std::uint64_t RenewalCount_ = 0;
+  HttpResponder PendingRenewal_;
+  std::uint64_t RenewalNumber_ = 0;
 };
 
 } // namespace cuminroad::standin
--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -9,7 +9,7 @@
 #include "StandinServer.h"
 
 using namespace cuminroad;
-using standin::reply;
+using standin::respondJson;
 
 namespace {
 
@@ -31,51 +31,56 @@
 
 class Platform {
 public:
-  explicit Platform(Loop &Home) : Home_(Home) {}
+  explicit Platform(Loop &ControlLoop) : ControlLoop_(ControlLoop) {}
 
   void handle(const HttpRequest &Request, const HttpResponder &Respond) {
     if (Request.Path == "/control")
-      return control(nlohmann::json::parse(Request.Body), Respond);
+      return setFaults(nlohmann::json::parse(Request.Body), Respond);
     if (Request.Path == "/vms/register")
       return registerVm(nlohmann::json::parse(Request.Body), Respond);
     if (Request.Path == "/vms/state")
-      return setState(nlohmann::json::parse(Request.Body), Respond);
+      return setVmState(nlohmann::json::parse(Request.Body), Respond);
     if (Request.Path == "/counts")
-      return reply(Respond, 200, {{"writes", Writes_}, {"reads", Reads_}});
+      return respondJson(Respond, 200,
+                         {{"writes", Writes_}, {"reads", Reads_}});
     if (Faults_.Down)
-      return reply(Respond, 503, {{"error", "down"}});
+      return respondJson(Respond, 503, {{"error", "down"}});
     if (Faults_.SlowMs > 0) {
-      Home_.after(milliseconds(Faults_.SlowMs),
-                  [this, Request, Respond] { serve(Request, Respond); });
+      ControlLoop_.after(
+          milliseconds(Faults_.SlowMs),
+          [this, Request, Respond] { dispatchServiceCall(Request, Respond); });
       return;
     }
-    serve(Request, Respond);
+    dispatchServiceCall(Request, Respond);
   }
 
 private:
-  void serve(const HttpRequest &Request, const HttpResponder &Respond) {
+  void dispatchServiceCall(const HttpRequest &Request,
+                           const HttpResponder &Respond) {
     if (Request.Path == "/table/commit")
-      return commit(nlohmann::json::parse(Request.Body), Respond);
+      return commitTransaction(nlohmann::json::parse(Request.Body), Respond);
     ++Reads_;
     if (Request.Path == "/table/row")
-      return reply(Respond, 200,
-                   {{"rows", {rowJson(std::string(Request.query("key")))}}});
+      return respondJson(
+          Respond, 200,
+          {{"rows", {readRowJson(std::string(Request.query("key")))}}});
     if (Request.Path == "/table/scan")
-      return scan(std::string(Request.query("prefix")), Respond);
+      return scanRows(std::string(Request.query("prefix")), Respond);
     if (Request.Path == "/vms")
-      return list(std::string(Request.query("domain")), Respond,
-                  findHeader(Request.Headers, "If-None-Match"));
+      return listVms(std::string(Request.query("domain")), Respond,
+                     findHeader(Request.Headers, "If-None-Match"));
     if (Request.Path.starts_with("/objects/"))
-      return object(Request, Respond);
-    reply(Respond, 404, {{"error", "unknown path"}});
+      return accessObject(Request, Respond);
+    respondJson(Respond, 404, {{"error", "unknown path"}});
   }
 
-  nlohmann::json rowJson(const std::string &Key) {
+  nlohmann::json readRowJson(const std::string &Key) {
     const Row &Found = Rows_[Key];
     return {{"key", Key}, {"version", Found.Version}, {"value", Found.Value}};
   }
 
-  void commit(const nlohmann::json &Body, const HttpResponder &Respond) {
+  void commitTransaction(const nlohmann::json &Body,
+                         const HttpResponder &Respond) {
     ++Writes_;
     std::vector<std::string> Conflicts;
     for (const nlohmann::json &Check : Body.at("checks"))
@@ -91,67 +96,69 @@
             Row{Deleted ? 0 : Revision_, Write.at("value")};
       }
     }
-    const nlohmann::json Answer{{"revision", Revision_},
-                                {"conflicts", Conflicts}};
+    const nlohmann::json CommitResult{{"revision", Revision_},
+                                      {"conflicts", Conflicts}};
     if (Faults_.LoseReplies > 0 && Status == 200) {
       --Faults_.LoseReplies;
-      Home_.after(LostReplyDelay, [=] { reply(Respond, Status, Answer); });
+      ControlLoop_.after(LostReplyDelay,
+                         [=] { respondJson(Respond, Status, CommitResult); });
       return;
     }
-    reply(Respond, Status, Answer);
+    respondJson(Respond, Status, CommitResult);
   }
 
-  void scan(const std::string &Prefix, const HttpResponder &Respond) {
-    nlohmann::json Out = nlohmann::json::array();
+  void scanRows(const std::string &Prefix, const HttpResponder &Respond) {
+    nlohmann::json RowList = nlohmann::json::array();
     for (auto Entry = Rows_.lower_bound(Prefix);
          Entry != Rows_.end() && Entry->first.starts_with(Prefix); ++Entry)
       if (Entry->second.Version != 0)
-        Out.push_back(rowJson(Entry->first));
-    reply(Respond, 200, {{"rows", Out}});
+        RowList.push_back(readRowJson(Entry->first));
+    respondJson(Respond, 200, {{"rows", RowList}});
   }
 
-  void list(const std::string &Domain, const HttpResponder &Respond,
-            std::string_view KnownTag) {
+  void listVms(const std::string &Domain, const HttpResponder &Respond,
+               std::string_view KnownTag) {
     const std::string Tag = std::to_string(ListVersion_);
     if (KnownTag == Tag)
       return Respond(HttpResponse{304, {{"ETag", Tag}}, ""});
-    nlohmann::json Out = nlohmann::json::array();
+    nlohmann::json VmList = nlohmann::json::array();
     for (const auto &[Id, Vm] : Vms_)
       if (Domain.empty() || Vm.at("domain") == Domain)
-        Out.push_back(Vm);
+        VmList.push_back(Vm);
     Respond(HttpResponse{
         200,
         {{"ETag", Tag}},
-        nlohmann::json{{"vms", Out}, {"gone_entries", GoneEntries_}}.dump()});
+        nlohmann::json{{"vms", VmList}, {"gone_entries", GoneEntries_}}
+            .dump()});
   }
 
-  void object(const HttpRequest &Request, const HttpResponder &Respond) {
+  void accessObject(const HttpRequest &Request, const HttpResponder &Respond) {
     if (Request.Method == "PUT") {
       Objects_[Request.Path] = Request.Body;
-      return reply(Respond, 200);
+      return respondJson(Respond, 200);
     }
     const auto Found = Objects_.find(Request.Path);
     if (Found == Objects_.end())
-      return reply(Respond, 404);
+      return respondJson(Respond, 404);
     Respond(HttpResponse{200, {}, Found->second, "application/octet-stream"});
   }
 
-  void control(const nlohmann::json &Body, const HttpResponder &Respond) {
+  void setFaults(const nlohmann::json &Body, const HttpResponder &Respond) {
     Faults_.Down = Body.value("down", Faults_.Down);
     Faults_.SlowMs = Body.value("slow_ms", Faults_.SlowMs);
     Faults_.LoseReplies = Body.value("lose_replies", Faults_.LoseReplies);
     Faults_.ListLagMs = Body.value("list_lag_ms", Faults_.ListLagMs);
-    reply(Respond, 200);
+    respondJson(Respond, 200);
   }
 
   void registerVm(const nlohmann::json &Body, const HttpResponder &Respond) {
     Vms_[Body.at("id")] = Body;
     ++ListVersion_;
-    reply(Respond, 200);
+    respondJson(Respond, 200);
   }
 
-  void setState(const nlohmann::json &Body, const HttpResponder &Respond) {
-    Home_.after(milliseconds(Faults_.ListLagMs), [this, Body] {
+  void setVmState(const nlohmann::json &Body, const HttpResponder &Respond) {
+    ControlLoop_.after(milliseconds(Faults_.ListLagMs), [this, Body] {
       const std::string Id = Body.at("id");
       ++ListVersion_;
       if (Vms_.contains(Id))
@@ -159,10 +166,10 @@
       else
         GoneEntries_.push_back(Id);
     });
-    reply(Respond, 200);
+    respondJson(Respond, 200);
   }
 
-  Loop &Home_;
+  Loop &ControlLoop_;
   Faults Faults_;
   std::int64_t Revision_ = 0;
   std::int64_t ListVersion_ = 1;
@@ -179,10 +186,10 @@
 int main(int Argc, char **Argv) {
   if (Argc != 2)
     return 2;
-  const auto Home = makeAsioLoop();
-  Platform Service(*Home);
-  return standin::serve(
-      std::atoi(Argv[1]), *Home,
+  const auto ControlLoop = makeAsioLoop();
+  Platform Service(*ControlLoop);
+  return standin::serveUntilSignal(
+      std::atoi(Argv[1]), *ControlLoop,
       [&Service](const HttpRequest &Request, const HttpResponder &Respond) {
         Service.handle(Request, Respond);
       });
