--- a/benchmark/FirstComeFirstFit.cpp
+++ b/benchmark/FirstComeFirstFit.cpp
@@ -21,29 +21,30 @@
 }
 
 /// Starts one task of a job, or all of a gang.
-bool FirstComeFirstFit::startAll(const JobSpec &Spec, int First) {
-  const int Last = Spec.Kind == JobKind::Gang ? Spec.Tasks : First + 1;
-  std::vector<std::size_t> Places;
-  for (int Task = First; Task < Last; ++Task) {
+bool FirstComeFirstFit::startTasks(const JobSpec &Spec, int FirstTask) {
+  const int TaskLimit = Spec.Kind == JobKind::Gang ? Spec.Tasks : FirstTask + 1;
+  std::vector<std::size_t> VmIndices;
+  for (int Task = FirstTask; Task < TaskLimit; ++Task) {
     const auto Found =
-        std::find_if(Vms_.begin(), Vms_.end(), [&](const Vm &Each) {
-          return Spec.PerTask.fitsIn(Each.Free);
+        std::find_if(Vms_.begin(), Vms_.end(), [&](const Vm &Candidate) {
+          return Spec.PerTask.fitsIn(Candidate.Free);
         });
     if (Found == Vms_.end())
       break;
     Found->Free -= Spec.PerTask;
-    Places.push_back(static_cast<std::size_t>(Found - Vms_.begin()));
+    VmIndices.push_back(static_cast<std::size_t>(Found - Vms_.begin()));
   }
-  if (static_cast<int>(Places.size()) < Last - First) {
-    for (const std::size_t Place : Places)
-      Vms_[Place].Free += Spec.PerTask;
+  if (static_cast<int>(VmIndices.size()) < TaskLimit - FirstTask) {
+    for (const std::size_t VmIndex : VmIndices)
+      Vms_[VmIndex].Free += Spec.PerTask;
     return false;
   }
-  for (int Task = First; Task < Last; ++Task) {
+  for (int Task = FirstTask; Task < TaskLimit; ++Task) {
     const TaskRef Ref{Spec.Id, Task};
-    const std::size_t Place = Places[static_cast<std::size_t>(Task - First)];
-    Running_[Ref] = {Place, Spec.PerTask};
-    Commands_.push_back(StartTask{Vms_[Place].Spec.Id, TaskAttempt{Ref, 1},
+    const std::size_t VmIndex =
+        VmIndices[static_cast<std::size_t>(Task - FirstTask)];
+    Running_[Ref] = {VmIndex, Spec.PerTask};
+    Commands_.push_back(StartTask{Vms_[VmIndex].Spec.Id, TaskAttempt{Ref, 1},
                                   Spec.PerTask, Spec.Duration, false});
   }
   return true;
@@ -51,11 +52,11 @@
 
 void FirstComeFirstFit::schedule() {
   while (!Queue_.empty()) {
-    auto &[Spec, Next] = Queue_.front();
-    if (!startAll(Spec, Next))
+    auto &[Spec, NextTask] = Queue_.front();
+    if (!startTasks(Spec, NextTask))
       return;
-    Next = Spec.Kind == JobKind::Gang ? Spec.Tasks : Next + 1;
-    if (Next >= Spec.Tasks)
+    NextTask = Spec.Kind == JobKind::Gang ? Spec.Tasks : NextTask + 1;
+    if (NextTask >= Spec.Tasks)
       Queue_.pop_front();
   }
 }
@@ -65,11 +66,11 @@
 }
 
 std::vector<VmView> FirstComeFirstFit::vms() const {
-  std::vector<VmView> Out;
-  for (const Vm &Each : Vms_)
-    Out.push_back(VmView{Each.Spec.Id, VmCondition::Usable, Each.Spec.Total,
-                         Each.Free, false, false, 0});
-  return Out;
+  std::vector<VmView> Views;
+  for (const Vm &Listed : Vms_)
+    Views.push_back(VmView{Listed.Spec.Id, VmCondition::Usable,
+                           Listed.Spec.Total, Listed.Free, false, false, 0});
+  return Views;
 }
 
 } // namespace cuminroad
--- a/benchmark/FirstComeFirstFit.h
+++ b/benchmark/FirstComeFirstFit.h
@@ -43,7 +43,7 @@
     VmSpec Spec;
     Capacity Free;
   };
-  bool startAll(const JobSpec &Spec, int First);
+  bool startTasks(const JobSpec &Spec, int FirstTask);
 
   std::vector<Vm> Vms_;
   std::deque<std::pair<JobSpec, int>> Queue_;
--- a/benchmark/LoadGenerator.cpp
+++ b/benchmark/LoadGenerator.cpp
@@ -19,34 +19,34 @@
 
 namespace {
 
-constexpr milliseconds DrainTime{5000};
+constexpr milliseconds DrainTimeout{5000};
 
-struct Tally {
+struct Measurements {
   std::mutex Mutex;
-  std::vector<double> Micros;
-  std::size_t Failed = 0;
+  std::vector<double> LatenciesMicros;
+  std::size_t FailedRequests = 0;
 };
 
-double percentile(const std::vector<double> &Sorted, double Part) {
+double percentile(const std::vector<double> &Sorted, double Fraction) {
   return Sorted[static_cast<std::size_t>(
-      Part * static_cast<double>(Sorted.size() - 1))];
+      Fraction * static_cast<double>(Sorted.size() - 1))];
 }
 
 void send(HttpClient &Client, const std::string &Url, const std::string &Body,
-          TimePoint Due, Tally &Into) {
+          TimePoint Due, Measurements &Results) {
   HttpCall Call;
   Call.Method = "POST";
   Call.Url = Url;
   Call.Body = Body;
   Call.Headers = {{"X-Idempotent", "true"}};
-  Client.send(std::move(Call), [&Into, Due](const HttpResult &Answer) {
-    const double Micros = std::chrono::duration<double, std::micro>(
-                              std::chrono::steady_clock::now() - Due)
-                              .count();
-    const std::lock_guard Lock(Into.Mutex);
-    Into.Micros.push_back(Micros);
-    if (!Answer || Answer->Status != 200)
-      ++Into.Failed;
+  Client.send(std::move(Call), [&Results, Due](const HttpResult &Response) {
+    const double LatencyMicros = std::chrono::duration<double, std::micro>(
+                                     std::chrono::steady_clock::now() - Due)
+                                     .count();
+    const std::lock_guard Lock(Results.Mutex);
+    Results.LatenciesMicros.push_back(LatencyMicros);
+    if (!Response || Response->Status != 200)
+      ++Results.FailedRequests;
   });
 }
 
@@ -61,30 +61,31 @@
   const int Count = Rate * std::atoi(Argv[2]);
   const std::string Body = Argv[3];
   const std::vector<std::string> Urls(Argv + 4, Argv + Argc);
-  Tally Into;
+  Measurements Results;
   const auto Client = makeHttpClient();
   const TimePoint Begin = std::chrono::steady_clock::now();
-  const auto Step = std::chrono::nanoseconds(1'000'000'000 / Rate);
+  const auto SendInterval = std::chrono::nanoseconds(1'000'000'000 / Rate);
   for (int Index = 0; Index < Count; ++Index) {
-    const TimePoint Due = Begin + Step * Index;
+    const TimePoint Due = Begin + SendInterval * Index;
     std::this_thread::sleep_until(Due);
     send(*Client, Urls[static_cast<std::size_t>(Index) % Urls.size()], Body,
-         Due, Into);
+         Due, Results);
   }
   const TimePoint End = std::chrono::steady_clock::now();
-  while (std::chrono::steady_clock::now() - End < DrainTime) {
+  while (std::chrono::steady_clock::now() - End < DrainTimeout) {
     std::this_thread::sleep_for(milliseconds(10));
-    const std::lock_guard Lock(Into.Mutex);
-    if (Into.Micros.size() == static_cast<std::size_t>(Count))
+    const std::lock_guard Lock(Results.Mutex);
+    if (Results.LatenciesMicros.size() == static_cast<std::size_t>(Count))
       break;
   }
-  const std::lock_guard Lock(Into.Mutex);
-  std::sort(Into.Micros.begin(), Into.Micros.end());
+  const std::lock_guard Lock(Results.Mutex);
+  std::sort(Results.LatenciesMicros.begin(), Results.LatenciesMicros.end());
   const double Seconds = std::chrono::duration<double>(End - Begin).count();
   fmt::print("{{\"sent\":{},\"answered\":{},\"failed\":{},\"rate\":{:.0f},"
              "\"p50_us\":{:.0f},\"p99_us\":{:.0f},\"max_us\":{:.0f}}}\n",
-             Count, Into.Micros.size(), Into.Failed, Count / Seconds,
-             percentile(Into.Micros, 0.5), percentile(Into.Micros, 0.99),
-             Into.Micros.back());
-  return Into.Failed == 0 ? 0 : 1;
+             Count, Results.LatenciesMicros.size(), Results.FailedRequests,
+             Count / Seconds, percentile(Results.LatenciesMicros, 0.5),
+             percentile(Results.LatenciesMicros, 0.99),
+             Results.LatenciesMicros.back());
+  return Results.FailedRequests == 0 ? 0 : 1;
 }
--- a/benchmark/SiteModel.cpp
+++ b/benchmark/SiteModel.cpp
@@ -16,109 +16,115 @@
 constexpr double MeanRunMs = 28000;
 constexpr double ServiceShare = 0.2;
 constexpr double GangShare = 0.05;
-constexpr int UrgentEvery = 20;
+constexpr int UrgentCustomerInterval = 20;
 /// Mean processors of a task, see pickSize().
-constexpr double MeanCores = 4.3;
+constexpr double MeanTaskCores = 4.3;
 constexpr double AcceleratorShare = 0.05;
 /// Arrivals come in waves around the mean rate.
 constexpr milliseconds WavePeriod{60000};
-constexpr milliseconds WaveHigh{20000};
-constexpr double HighFactor = 1.5;
-constexpr double LowFactor = 0.75;
+constexpr milliseconds WaveCrest{20000};
+constexpr double CrestFactor = 1.5;
+constexpr double TroughFactor = 0.75;
 constexpr milliseconds StepTime{10};
 
-double percentile(std::vector<double> &Sorted, double Part) {
+double percentile(std::vector<double> &Sorted, double Fraction) {
   if (Sorted.empty())
     return 0;
-  const auto Index =
-      static_cast<std::size_t>(Part * static_cast<double>(Sorted.size() - 1));
+  const auto Index = static_cast<std::size_t>(
+      Fraction * static_cast<double>(Sorted.size() - 1));
   return Sorted[Index];
 }
 
 } // namespace
 
-SiteModel::SiteModel(const SiteSize &Size, std::uint32_t Seed)
-    : Size_(Size), Random_(Seed) {}
+SiteModel::SiteModel(const SiteParameters &Parameters, std::uint32_t Seed)
+    : Parameters_(Parameters), Random_(Seed) {}
 
-void SiteModel::prepare(Scheduler &Core) {
-  for (int Index = 0; Index < Size_.SmallVms + Size_.LargeVms; ++Index) {
-    const bool Large = Index >= Size_.SmallVms;
+void SiteModel::addVmsAndCustomers(Scheduler &TestedScheduler) {
+  for (int Index = 0; Index < Parameters_.SmallVms + Parameters_.LargeVms;
+       ++Index) {
+    const bool Large = Index >= Parameters_.SmallVms;
     const std::string Id = fmt::format("vm{}", Index);
     const int Rack =
         Large ? 1000 + Index / LargeVmsPerRack : Index / SmallVmsPerRack;
     const Capacity Total = Large ? LargeVm : SmallVm;
-    TotalCores_ += Total.MilliCores;
-    Core.listVm(VmSpec{Id, "d1", std::to_string(Rack), "s", "", Total, 8, 64});
-    Core.vmClaimed(Id, {});
+    TotalMilliCores_ += Total.MilliCores;
+    TestedScheduler.listVm(
+        VmSpec{Id, "d1", std::to_string(Rack), "s", "", Total, 8, 64});
+    TestedScheduler.vmClaimed(Id, {});
   }
-  for (int Index = 0; Index < Size_.Customers; ++Index) {
+  for (int Index = 0; Index < Parameters_.Customers; ++Index) {
     ContractTerms Terms;
-    Terms.MaxHeld = Capacity{TotalCores_, TotalCores_ * 4, 10000};
+    Terms.MaxHeld = Capacity{TotalMilliCores_, TotalMilliCores_ * 4, 10000};
     Terms.TaskStartWithin = milliseconds(10000);
-    Terms.Urgent = Index % UrgentEvery == 0;
-    Core.setLimit(fmt::format("c{}", Index), Terms);
+    Terms.Urgent = Index % UrgentCustomerInterval == 0;
+    TestedScheduler.setLimit(fmt::format("c{}", Index), Terms);
   }
 }
 
-Capacity SiteModel::pickSize(bool Urgent) {
+Capacity SiteModel::randomTaskSize(bool Urgent) {
   if (Urgent)
     return Capacity{1000, 1500, 0};
   constexpr std::int64_t Cores[] = {1, 2, 3, 4, 6, 8, 12, 16, 32, 48};
   constexpr std::int64_t MemoryPerCore[] = {500, 1000, 2000, 3000};
-  std::discrete_distribution<int> Size({25, 22, 15, 14, 9, 7, 4, 2, 1, 1});
-  std::uniform_int_distribution<int> Ratio(0, 3);
-  Capacity Out;
-  Out.MilliCores = Cores[Size(Random_)] * 1000;
-  Out.MemoryMb = Out.MilliCores / 1000 * MemoryPerCore[Ratio(Random_)];
+  std::discrete_distribution<int> CoresIndex(
+      {25, 22, 15, 14, 9, 7, 4, 2, 1, 1});
+  std::uniform_int_distribution<int> RatioIndex(0, 3);
+  Capacity TaskSize;
+  TaskSize.MilliCores = Cores[CoresIndex(Random_)] * 1000;
+  TaskSize.MemoryMb =
+      TaskSize.MilliCores / 1000 * MemoryPerCore[RatioIndex(Random_)];
   if (std::bernoulli_distribution(AcceleratorShare)(Random_))
-    Out.Accelerators = 1 + Ratio(Random_);
-  return Out;
+    TaskSize.Accelerators = 1 + RatioIndex(Random_);
+  return TaskSize;
 }
 
-JobSpec SiteModel::makeJob(bool Service) {
+JobSpec SiteModel::randomJob(bool Service) {
   JobSpec Spec;
-  Spec.Id = fmt::format("j{}", NextJob_++);
+  Spec.Id = fmt::format("j{}", NextJobNumber_++);
   const int Customer =
-      std::uniform_int_distribution<int>(0, Size_.Customers - 1)(Random_);
+      std::uniform_int_distribution<int>(0, Parameters_.Customers - 1)(Random_);
   // Urgent customers bring quick checks, not long-running work.
-  const bool Urgent = Customer % UrgentEvery == 0 && !Service;
-  const int Chosen = Customer % UrgentEvery == 0 && Service ? 1 : Customer;
-  Spec.Customer = fmt::format("c{}", Chosen);
-  Spec.PerTask = pickSize(Urgent);
-  const double Kind = std::uniform_real_distribution<double>(0, 1)(Random_);
-  Spec.Kind = Service                       ? JobKind::Service
-              : Kind < GangShare && !Urgent ? JobKind::Gang
-                                            : JobKind::Batch;
+  const bool Urgent = Customer % UrgentCustomerInterval == 0 && !Service;
+  const int CustomerIndex =
+      Customer % UrgentCustomerInterval == 0 && Service ? 1 : Customer;
+  Spec.Customer = fmt::format("c{}", CustomerIndex);
+  Spec.PerTask = randomTaskSize(Urgent);
+  const double KindDraw = std::uniform_real_distribution<double>(0, 1)(Random_);
+  Spec.Kind = Service                           ? JobKind::Service
+              : KindDraw < GangShare && !Urgent ? JobKind::Gang
+                                                : JobKind::Batch;
   Spec.Tasks = Spec.Kind == JobKind::Gang ? 8 : 1;
   Spec.Checkpointable = std::bernoulli_distribution(0.5)(Random_);
   if (Service)
     return Spec;
   const double RunMs =
       std::exponential_distribution<double>(1.0 / MeanRunMs)(Random_) + 200;
-  const double Off = std::uniform_real_distribution<double>(-2, 2)(Random_);
+  const double EstimateErrorLog2 =
+      std::uniform_real_distribution<double>(-2, 2)(Random_);
   RunTimes_[Spec.Id] = milliseconds(static_cast<std::int64_t>(RunMs));
-  Spec.Duration =
-      milliseconds(static_cast<std::int64_t>(RunMs * std::exp2(Off)) + 1);
+  Spec.Duration = milliseconds(
+      static_cast<std::int64_t>(RunMs * std::exp2(EstimateErrorLog2)) + 1);
   return Spec;
 }
 
-void SiteModel::submit(Scheduler &Core, const JobSpec &Spec) {
+void SiteModel::submit(Scheduler &TestedScheduler, const JobSpec &Spec) {
   const int Customer = std::stoi(Spec.Customer.substr(1));
   Arrivals_[Spec.Id] =
-      Arrival{Clock_.now(), Spec.Kind, Customer % UrgentEvery == 0};
+      Arrival{Clock_.now(), Spec.Kind, Customer % UrgentCustomerInterval == 0};
   Specs_[Spec.Id] = Spec;
-  Core.submit(Spec);
+  TestedScheduler.submit(Spec);
 }
 
-void SiteModel::decide(Scheduler &Core) {
+void SiteModel::runPass(Scheduler &TestedScheduler) {
   const auto Begin = std::chrono::steady_clock::now();
-  Core.schedule();
+  TestedScheduler.schedule();
   const double Micros = std::chrono::duration<double, std::micro>(
                             std::chrono::steady_clock::now() - Begin)
                             .count();
   std::size_t Starts = 0;
   std::vector<StopTask> Stops;
-  for (const Command &Each : Core.takeCommands()) {
+  for (const Command &Each : TestedScheduler.takeCommands()) {
     if (const auto *Stop = std::get_if<StopTask>(&Each))
       Stops.push_back(*Stop);
     const auto *Start = std::get_if<StartTask>(&Each);
@@ -127,127 +133,130 @@
     ++Starts;
     const TaskRef &Ref = Start->Task.Task;
     Running_[Ref] = Start->Size;
-    UsedCores_ += Start->Size.MilliCores;
-    Core.taskStarted(Start->Task);
+    UsedMilliCores_ += Start->Size.MilliCores;
+    TestedScheduler.taskStarted(Start->Task);
     if (const auto Run = RunTimes_.find(Ref.Job); Run != RunTimes_.end())
-      Ends_.push(End{Clock_.now() + Run->second, Start->Task});
-    Arrival &Of = Arrivals_[Ref.Job];
-    if (std::exchange(Of.Started, true))
+      PlannedEnds_.push(PlannedEnd{Clock_.now() + Run->second, Start->Task});
+    Arrival &JobArrival = Arrivals_[Ref.Job];
+    if (std::exchange(JobArrival.Started, true))
       continue;
-    const double Wait =
-        std::chrono::duration<double, std::milli>(Clock_.now() - Of.At).count();
-    (Of.Urgent                  ? UrgentWaits_
-     : Of.Kind == JobKind::Gang ? GangWaits_
-                                : BatchWaits_)
+    const double Wait = std::chrono::duration<double, std::milli>(
+                            Clock_.now() - JobArrival.Time)
+                            .count();
+    (JobArrival.Urgent                  ? UrgentWaits_
+     : JobArrival.Kind == JobKind::Gang ? GangWaits_
+                                        : BatchWaits_)
         .push_back(Wait);
   }
   for (const StopTask &Stop : Stops) {
     const auto Found = Running_.find(Stop.Task.Task);
     if (Found == Running_.end())
       continue;
-    UsedCores_ -= Found->second.MilliCores;
+    UsedMilliCores_ -= Found->second.MilliCores;
     Running_.erase(Found);
-    Core.taskEnded(Stop.Task, false, true);
+    TestedScheduler.taskEnded(Stop.Task, false, true);
   }
   Decisions_ += Starts;
-  BusyMicros_ += Micros;
+  TotalPassMicros_ += Micros;
   if (Starts > 0)
     PassMicros_.push_back(Micros);
   if (!Stops.empty())
-    decide(Core);
+    runPass(TestedScheduler);
 }
 
-void SiteModel::endDue(Scheduler &Core) {
-  while (!Ends_.empty() && Ends_.top().At <= Clock_.now()) {
-    const TaskAttempt Task = Ends_.top().Task;
-    Ends_.pop();
+void SiteModel::endDueTasks(Scheduler &TestedScheduler) {
+  while (!PlannedEnds_.empty() && PlannedEnds_.top().Time <= Clock_.now()) {
+    const TaskAttempt Task = PlannedEnds_.top().Task;
+    PlannedEnds_.pop();
     const auto Found = Running_.find(Task.Task);
     if (Found == Running_.end())
       continue;
-    UsedCores_ -= Found->second.MilliCores;
+    UsedMilliCores_ -= Found->second.MilliCores;
     Running_.erase(Found);
-    Core.taskEnded(Task, false, false);
-    decide(Core);
+    TestedScheduler.taskEnded(Task, false, false);
+    runPass(TestedScheduler);
   }
 }
 
-double SiteModel::usedPercent() const {
-  return 100.0 * static_cast<double>(UsedCores_) /
-         static_cast<double>(TotalCores_);
+double SiteModel::usedProcessorPercent() const {
+  return 100.0 * static_cast<double>(UsedMilliCores_) /
+         static_cast<double>(TotalMilliCores_);
 }
 
-double SiteModel::scarcestPercent(const Scheduler &Core) {
+double SiteModel::scarcestResourcePercent(const Scheduler &TestedScheduler) {
   Capacity Total;
   Capacity Free;
-  for (const VmView &Vm : Core.vms()) {
+  for (const VmView &Vm : TestedScheduler.vms()) {
     Total += Vm.Total;
     Free += Vm.FreeCapacity;
   }
-  const auto Part = [](std::int64_t Left, std::int64_t Of) {
-    return 100.0 - 100.0 * static_cast<double>(Left) / static_cast<double>(Of);
+  const auto UsedPercent = [](std::int64_t Free, std::int64_t Total) {
+    return 100.0 -
+           100.0 * static_cast<double>(Free) / static_cast<double>(Total);
   };
-  return std::max({Part(Free.MilliCores, Total.MilliCores),
-                   Part(Free.MemoryMb, Total.MemoryMb),
-                   Part(Free.Accelerators, Total.Accelerators)});
+  return std::max({UsedPercent(Free.MilliCores, Total.MilliCores),
+                   UsedPercent(Free.MemoryMb, Total.MemoryMb),
+                   UsedPercent(Free.Accelerators, Total.Accelerators)});
 }
 
-WaitFigures SiteModel::figures(std::vector<double> Waits) const {
+WaitStatistics SiteModel::waitStatistics(std::vector<double> Waits) const {
   std::sort(Waits.begin(), Waits.end());
-  return WaitFigures{Waits.size(), percentile(Waits, 0.5),
-                     percentile(Waits, 0.99), Waits.empty() ? 0 : Waits.back()};
+  return WaitStatistics{Waits.size(), percentile(Waits, 0.5),
+                        percentile(Waits, 0.99),
+                        Waits.empty() ? 0 : Waits.back()};
 }
 
-SiteFigures SiteModel::run(Scheduler &Core, milliseconds Time) {
-  const double Target = Size_.LoadPercent / 100.0;
-  while (usedPercent() < 100 * Target * ServiceShare) {
-    submit(Core, makeJob(true));
-    decide(Core);
+SiteResults SiteModel::run(Scheduler &TestedScheduler, milliseconds Duration) {
+  const double TargetLoad = Parameters_.LoadPercent / 100.0;
+  while (usedProcessorPercent() < 100 * TargetLoad * ServiceShare) {
+    submit(TestedScheduler, randomJob(true));
+    runPass(TestedScheduler);
   }
   // Arrivals that keep the rest of the target busy, by Little's law.
-  const double Tasks = static_cast<double>(TotalCores_) / 1000.0 * Target *
-                       (1 - ServiceShare) / MeanCores;
+  const double RunningTasks = static_cast<double>(TotalMilliCores_) / 1000.0 *
+                              TargetLoad * (1 - ServiceShare) / MeanTaskCores;
   const double TasksPerJob = 1 + GangShare * 7;
-  const double JobsPerMs = Tasks / MeanRunMs / TasksPerJob;
-  const double Mean = JobsPerMs * static_cast<double>(StepTime.count());
+  const double JobsPerMs = RunningTasks / MeanRunMs / TasksPerJob;
+  const double JobsPerStep = JobsPerMs * static_cast<double>(StepTime.count());
   const TimePoint Begin = Clock_.now();
-  const TimePoint Stop = Begin + Time;
+  const TimePoint Stop = Begin + Duration;
   while (Clock_.now() < Stop) {
     Clock_.advance(StepTime);
-    endDue(Core);
-    const bool High = (Clock_.now() - Begin) % WavePeriod < WaveHigh;
-    std::poisson_distribution<int> Arriving(Mean *
-                                            (High ? HighFactor : LowFactor));
-    for (int Left = Arriving(Random_); Left > 0; --Left) {
-      submit(Core, makeJob(false));
-      decide(Core);
+    endDueTasks(TestedScheduler);
+    const bool InCrest = (Clock_.now() - Begin) % WavePeriod < WaveCrest;
+    std::poisson_distribution<int> ArrivalCount(
+        JobsPerStep * (InCrest ? CrestFactor : TroughFactor));
+    for (int Left = ArrivalCount(Random_); Left > 0; --Left) {
+      submit(TestedScheduler, randomJob(false));
+      runPass(TestedScheduler);
     }
-    decide(Core);
+    runPass(TestedScheduler);
   }
-  SiteFigures Out;
-  Out.Decisions = Decisions_;
-  Out.DecisionsPerSecond =
-      static_cast<double>(Decisions_) / BusyMicros_ * 1'000'000;
+  SiteResults Results;
+  Results.Decisions = Decisions_;
+  Results.DecisionsPerSecond =
+      static_cast<double>(Decisions_) / TotalPassMicros_ * 1'000'000;
   std::sort(PassMicros_.begin(), PassMicros_.end());
-  Out.P50Micros = percentile(PassMicros_, 0.5);
-  Out.P99Micros = percentile(PassMicros_, 0.99);
-  Out.UsedPercent = usedPercent();
-  Out.Urgent = figures(UrgentWaits_);
-  Out.Batch = figures(BatchWaits_);
-  Out.Gang = figures(GangWaits_);
+  Results.P50Micros = percentile(PassMicros_, 0.5);
+  Results.P99Micros = percentile(PassMicros_, 0.99);
+  Results.UsedPercent = usedProcessorPercent();
+  Results.Urgent = waitStatistics(UrgentWaits_);
+  Results.Batch = waitStatistics(BatchWaits_);
+  Results.Gang = waitStatistics(GangWaits_);
   for (const auto &[Id, Each] : Arrivals_)
-    Out.NeverStarted += Each.Started ? 0 : 1;
-  return Out;
+    Results.NeverStarted += Each.Started ? 0 : 1;
+  return Results;
 }
 
-double SiteModel::fillUntilWait(Scheduler &Core) {
+double SiteModel::fillUntilFirstWait(Scheduler &TestedScheduler) {
   while (true) {
-    JobSpec Spec = makeJob(false);
+    JobSpec Spec = randomJob(false);
     if (Spec.Kind == JobKind::Gang)
       continue;
-    submit(Core, Spec);
-    decide(Core);
+    submit(TestedScheduler, Spec);
+    runPass(TestedScheduler);
     if (!Arrivals_[Spec.Id].Started)
-      return scarcestPercent(Core);
+      return scarcestResourcePercent(TestedScheduler);
   }
 }
 
--- a/benchmark/SiteModel.h
+++ b/benchmark/SiteModel.h
@@ -14,7 +14,7 @@
 namespace cuminroad {
 
 /// The size of a site.
-struct SiteSize {
+struct SiteParameters {
   int SmallVms;
   int LargeVms;
   int Customers;
@@ -23,7 +23,7 @@
 };
 
 /// How long work of one class waited, in milliseconds of the model's time.
-struct WaitFigures {
+struct WaitStatistics {
   std::size_t Count = 0;
   double P50 = 0;
   double P99 = 0;
@@ -31,16 +31,16 @@
 };
 
 /// What one run measured.
-struct SiteFigures {
+struct SiteResults {
   std::size_t Decisions = 0;
   double DecisionsPerSecond = 0;
   double P50Micros = 0;
   double P99Micros = 0;
   /// Share of the processors in use, in percent, at the end of the run.
   double UsedPercent = 0;
-  WaitFigures Urgent;
-  WaitFigures Batch;
-  WaitFigures Gang;
+  WaitStatistics Urgent;
+  WaitStatistics Batch;
+  WaitStatistics Gang;
   std::size_t NeverStarted = 0;
 };
 
@@ -50,54 +50,54 @@
 /// run times are off by up to four times.
 class SiteModel {
 public:
-  SiteModel(const SiteSize &Size, std::uint32_t Seed);
+  SiteModel(const SiteParameters &Parameters, std::uint32_t Seed);
 
   /// Makes the scheduler's VMs and customers.
-  void prepare(Scheduler &Core);
+  void addVmsAndCustomers(Scheduler &TestedScheduler);
   /// Fills the site, then lets work come and go for \p Time.
-  SiteFigures run(Scheduler &Core, milliseconds Time);
+  SiteResults run(Scheduler &TestedScheduler, milliseconds Duration);
   /// Submits work until a task has to wait.
   /// \returns the share of the scarcest resource in use then, in percent.
-  double fillUntilWait(Scheduler &Core);
+  double fillUntilFirstWait(Scheduler &TestedScheduler);
   ManualClock &clock() { return Clock_; }
 
 private:
-  struct End {
-    TimePoint At;
+  struct PlannedEnd {
+    TimePoint Time;
     TaskAttempt Task;
-    bool operator<(const End &Other) const { return At > Other.At; }
+    bool operator<(const PlannedEnd &Other) const { return Time > Other.Time; }
   };
   struct Arrival {
-    TimePoint At;
+    TimePoint Time;
     JobKind Kind;
     bool Urgent;
     bool Started = false;
   };
 
-  JobSpec makeJob(bool Service);
-  Capacity pickSize(bool Urgent);
-  void submit(Scheduler &Core, const JobSpec &Spec);
-  void decide(Scheduler &Core);
-  void endDue(Scheduler &Core);
-  double usedPercent() const;
+  JobSpec randomJob(bool Service);
+  Capacity randomTaskSize(bool Urgent);
+  void submit(Scheduler &TestedScheduler, const JobSpec &Spec);
+  void runPass(Scheduler &TestedScheduler);
+  void endDueTasks(Scheduler &TestedScheduler);
+  double usedProcessorPercent() const;
   /// \returns the share in use of what is scarcest, in percent.
-  static double scarcestPercent(const Scheduler &Core);
-  WaitFigures figures(std::vector<double> Waits) const;
+  static double scarcestResourcePercent(const Scheduler &TestedScheduler);
+  WaitStatistics waitStatistics(std::vector<double> Waits) const;
 
-  SiteSize Size_;
+  SiteParameters Parameters_;
   ManualClock Clock_;
   std::mt19937 Random_;
-  std::int64_t TotalCores_ = 0;
-  std::int64_t UsedCores_ = 0;
-  int NextJob_ = 0;
-  std::priority_queue<End> Ends_;
+  std::int64_t TotalMilliCores_ = 0;
+  std::int64_t UsedMilliCores_ = 0;
+  int NextJobNumber_ = 0;
+  std::priority_queue<PlannedEnd> PlannedEnds_;
   std::map<std::string, Arrival> Arrivals_;
   std::map<std::string, JobSpec> Specs_;
   std::map<std::string, milliseconds> RunTimes_;
   std::map<TaskRef, Capacity> Running_;
   std::vector<double> PassMicros_;
   std::size_t Decisions_ = 0;
-  double BusyMicros_ = 0;
+  double TotalPassMicros_ = 0;
   std::vector<double> UrgentWaits_;
   std::vector<double> BatchWaits_;
   std::vector<double> GangWaits_;
