--- a/tests/fakes/include/cuminroad/fakes/FakeLoop.h
+++ b/tests/fakes/include/cuminroad/fakes/FakeLoop.h
@@ -8,7 +8,7 @@
 
 namespace cuminroad {
 
-/// A loop whose time passes only in runFor().
+/// An event loop with a simulated clock, which advances only in runFor().
 class FakeLoop final : public Loop {
 public:
   void post(Work Run) override { after(milliseconds(0), std::move(Run)); }
@@ -16,7 +16,8 @@
     Queue_.emplace(MonotonicClock.now() + std::max(Delay, milliseconds(0)),
                    std::move(Run));
   }
-  /// Runs what becomes due within \p Span, in order of time.
+  /// Advances the clock by \p Duration and runs the work that becomes due in
+  /// this time, in order of due time.
   void runFor(milliseconds Duration) {
     const TimePoint End = MonotonicClock.now() + Duration;
     while (!Queue_.empty() && Queue_.begin()->first <= End) {
--- a/tests/fakes/include/cuminroad/fakes/FakeRowStore.h
+++ b/tests/fakes/include/cuminroad/fakes/FakeRowStore.h
@@ -11,33 +11,40 @@
 
 namespace cuminroad {
 
-/// What becomes of a call.
+/// How the fake store handles one call.
 struct StoreFault {
   enum FaultKind {
     None,
-    /// Certainly nothing was done.
+    /// The store fails the call and changes nothing; the caller learns this.
     Refused,
-    /// Took effect; the answer is lost.
+    /// The store commits the transaction, but the response is lost, so that the
+    /// caller cannot tell whether it was committed.
     ResponseLost,
-    /// Had no effect; the caller can't know.
+    /// The request is lost: nothing is committed, but the caller cannot tell.
     RequestLost,
-    /// The caller gives up; it takes effect later, if its checks still hold.
+    /// The call times out for the caller. The transaction is applied after
+    /// Delay, if its checks still hold then.
     Delayed,
   };
   FaultKind Kind = None;
-  /// Of Late.
+  /// Used by Delayed only.
   milliseconds Delay{0};
 };
 
-/// The store's rows, shared by the clients of several daemons.
+/// The rows of the store. Several daemons' FakeRowStore objects share them.
 class FakeRows {
 public:
   using Key = std::tuple<std::string, std::string, std::string>;
 
+  /// Commits the transaction if all of its checks hold. \returns otherwise the
+  /// rows that were found for the checks.
   RowCommit apply(const RowTransaction &Transaction);
   RowPage read(const RowRange &Range) const;
+  /// \returns the rows of a table that changed after version \p After, removed
+  /// ones included, by version.
   RowPage changesSince(const std::string &Table, std::int64_t After) const;
-  /// Drops the history of changes.
+  /// Drops the change history up to now: a change feed that asks for older
+  /// changes fails with HistoryGone.
   void compact() { CompactedVersion = Version; }
   const StoredRow *find(const RowName &Name) const;
 
@@ -46,7 +53,8 @@
   std::map<Key, StoredRow> Rows;
 };
 
-/// One daemon's access to the store; fails as the test says.
+/// One daemon's client of the store. The test injects faults and sets the
+/// latency.
 class FakeRowStore final : public RowStore {
 public:
   FakeRowStore(FakeRows &Rows, FakeLoop &ControlLoop)
@@ -59,7 +67,8 @@
   milliseconds storeTime() const override;
   TimePoint lastContact() const override { return LastContact_; }
 
-  /// Decides the fate of each call; answers all where it is not set.
+  /// Returns the fault to inject into the next call; without it, all calls
+  /// succeed. Reads and change feeds fail on any fault.
   std::function<StoreFault()> NextFault;
   milliseconds Latency{6};
   int CommitCalls = 0;
@@ -69,6 +78,7 @@
   StoreFault injectedFault() const {
     return NextFault ? NextFault() : StoreFault{};
   }
+  /// Answers a change feed (long poll) with new changes, or at \p Deadline.
   void poll(RowChanges Request, TimePoint Deadline, PageDone Done);
 
   FakeRows &Rows_;
--- a/tests/fakes/include/cuminroad/fakes/FakeVms.h
+++ b/tests/fakes/include/cuminroad/fakes/FakeVms.h
@@ -11,32 +11,37 @@
 
 namespace cuminroad {
 
-/// A start or an end that happened on a VM.
+/// The start or the end of a run on a VM.
 struct RunEvent {
   TimePoint Time{};
   std::string Vm;
   TaskRun Run;
   bool IsStart = false;
+  /// Meaningful for ends only.
   RunOutcome Outcome = RunOutcome::Done;
 };
 
-/// VMs that run tasks, with leases and fencing tokens, for several callers.
+/// Simulated VMs that run tasks and enforce leases and fencing tokens. Several
+/// daemons may call them, through a FakeVmCalls each.
 class FakeVms {
 public:
   explicit FakeVms(FakeLoop &ControlLoop) : ControlLoop_(ControlLoop) {}
 
   void add(const std::string &Id, std::int64_t Incarnation);
-  /// Ends everything on the VM, which then lives again and remembers nothing.
+  /// Ends all runs on the VM and starts it again as a new incarnation without
+  /// any state.
   void restart(const std::string &Id, std::int64_t Incarnation);
   HoldAnswer hold(const VmTarget &Vm, const HoldOrder &Order);
   OrderAnswer start(const VmTarget &Vm, const StartOrder &Order);
   OrderAnswer stop(const VmTarget &Vm, const TaskRun &Run);
 
-  /// How a run goes; by default it is done after 300 ms.
+  /// Returns how long a run takes and how it ends; without it, every run ends
+  /// as Done after 300 ms.
   std::function<std::pair<milliseconds, RunOutcome>(const TaskRun &)> PlanRun;
   std::vector<RunEvent> RunHistory;
-  /// Tasks whose end as done was acknowledged without a lapse of the VM's lease
-  /// since that end.
+  /// Tasks with the time of their end, if a daemon acknowledged this end as
+  /// Done and the VM's lease did not expire between the end and the
+  /// acknowledgement.
   std::vector<std::pair<TaskName, TimePoint>> AcknowledgedCompletions;
 
 private:
@@ -46,15 +51,17 @@
     std::int64_t NextEndNumber = 1;
     milliseconds LeaseUntil{0};
     std::map<TaskRun, TimePoint> Running;
-    /// The highest run of each task that was stopped or ended.
+    /// For each task, the highest number of a run that was stopped or ended.
     std::map<TaskName, std::int64_t> HighestEndedRun;
     std::vector<TaskEnd> Ends;
-    /// When each of them happened; nothing after the lease lapsed.
+    /// Time of each end, by its number; cleared when the lease expires.
     std::map<std::int64_t, TimePoint> EndTimes;
   };
 
   milliseconds vmTime() const;
   int progressPercent() const;
+  /// Checks the VM's id and the fencing token.
+  /// \returns null, with the outcome in \p Answer, if the call is refused.
   VmState *admitCall(const VmTarget &Vm, OrderAnswer &Answer);
   void endRun(const std::string &Id, const TaskRun &Run, RunOutcome Outcome);
   void expireLease(const std::string &Id);
@@ -63,22 +70,23 @@
   std::map<std::string, VmState> Vms_;
 };
 
-/// What becomes of an order.
+/// How the network or the VM handles one call.
 struct VmCallFault {
   enum FaultKind {
     None,
-    /// Not delivered, and the caller can't know.
+    /// The request is not delivered; the caller sees a timeout.
     RequestLost,
-    /// Carried out; the answer is lost.
+    /// The VM carries the order out; the caller sees a timeout.
     ResponseLost,
-    /// Carried out later; the caller has given up.
+    /// The caller sees a timeout; the VM carries the order out after Delay.
     Delayed,
   };
   FaultKind Kind = None;
+  /// Used by Delayed only.
   milliseconds Delay{0};
 };
 
-/// One daemon's calls to FakeVms; fails as the test says.
+/// One daemon's calls to FakeVms. The test injects faults and sets the latency.
 class FakeVmCalls final : public VmCalls {
 public:
   FakeVmCalls(FakeVms &Vms, FakeLoop &ControlLoop)
@@ -93,19 +101,22 @@
   void hold(const VmTarget &Vm, const HoldOrder &Order, milliseconds Timeout,
             HoldDone Done) override;
 
+  /// Returns the fault to inject into the next start, stop or hold of a VM;
+  /// without it, all calls succeed.
   std::function<VmCallFault(const std::string &Vm)> NextFault;
+  /// Of the request, and again of the answer.
   milliseconds Latency{4};
-  /// Starts and stops that arrive are refused with nothing done; holds work.
+  /// The VMs refuse starts and stops as Unhealthy and change nothing.
   bool RefuseStartsAndStops = false;
-  /// So are holds.
+  /// The VMs refuse holds as Unhealthy and do not renew their leases.
   bool RefuseHolds = false;
   int StartCalls = 0;
   int HoldCalls = 0;
-  /// Holds that asked for a connection of their own.
+  /// Holds that asked for a new connection.
   int FreshConnectionHolds = 0;
 
 private:
-  /// Carries \p Do out, now or late, and answers as the fate says.
+  /// Executes an order and answers it, subject to the injected fault.
   template <typename T>
   void send(const std::string &Vm, milliseconds Timeout,
             std::function<T()> Execute, std::function<void(Result<T>)> Done);
--- a/tests/fakes/src/FakeVms.cpp
+++ b/tests/fakes/src/FakeVms.cpp
@@ -8,8 +8,8 @@
 
 constexpr milliseconds DefaultRunTime{300};
 constexpr milliseconds MaxLease{6000};
-/// A VM that waits for an end answers after this at the latest in tests, so
-/// that its answer is not computed from a later state.
+/// Upper bound of the long poll of a hold. It is short, so that the answer is
+/// computed from a state close to that at the time of the call.
 constexpr milliseconds MaxHoldWait{50};
 
 } // namespace
@@ -33,7 +33,7 @@
 }
 
 int FakeVms::progressPercent() const {
-  // Moves as long as time passes; no test looks at how far a run is.
+  // Any value that changes over time will do: no test checks the progress.
   return static_cast<int>(vmTime().count() / 100 % 100);
 }
 
