--- a/programs/cuminroad/Command.h
+++ b/programs/cuminroad/Command.h
@@ -12,18 +12,18 @@
 
 namespace cuminroad::cli {
 
-/// Exit codes, documented in docs/CLI.md.
+/// Exit codes of the tool; docs/CLI.md documents them.
 enum ExitCode {
   ExitOk = 0,
-  /// The daemon refused, or the request was certainly not run.
+  /// The daemon refused the call, or the request was certainly not run.
   ExitRefused = 1,
-  /// The command line or a file is wrong.
+  /// The command line or an input file is invalid.
   ExitUsage = 2,
-  /// It is unknown whether the request ran or the change was taken.
+  /// It is unknown whether the request was run or the change was accepted.
   ExitUnknown = 3,
-  /// No daemon could be reached; nothing was done.
+  /// No connection to a daemon could be made, so nothing was done.
   ExitUnreachable = 4,
-  /// The change is not yet accepted.
+  /// The contract change is recorded but not yet accepted.
   ExitPending = 5,
 };
 
@@ -33,8 +33,9 @@
   virtual ~Command() = default;
   virtual std::string_view name() const = 0;
   virtual std::string_view summary() const = 0;
-  /// Adds the subcommand's own options.
+  /// Adds the subcommand's options and arguments to the command line.
   virtual void addOptions(TCLAP::CmdLine &Line) = 0;
+  /// Runs the subcommand. \returns the exit code.
   virtual int run(DaemonClient &Client, bool JsonOutput) = 0;
 };
 
@@ -45,9 +46,10 @@
 std::vector<std::unique_ptr<Command>> makeInspectionCommands();
 std::unique_ptr<Command> makeExplainCommand();
 
-/// Prints an answer as it is, or the failure. \returns the exit code.
+/// Prints the body of the response, or the error to stderr.
+/// \returns the exit code.
 int printResponse(const Result<DaemonResponse> &Response);
-/// \returns the exit code of an answer.
+/// \returns the exit code for a response or a failed call.
 int exitCode(const Result<DaemonResponse> &Response);
 
 } // namespace cuminroad::cli
--- a/programs/cuminroad/ContractCommands.cpp
+++ b/programs/cuminroad/ContractCommands.cpp
@@ -18,7 +18,7 @@
 std::string readFile(const std::string &Path) {
   std::ifstream File(Path);
   if (!File)
-    throw TCLAP::ArgException("can't read the file", Path);
+    throw TCLAP::ArgException("cannot read the file", Path);
   std::stringstream Text;
   Text << File.rdbuf();
   return Text.str();
@@ -65,7 +65,8 @@
   return ExitPending;
 }
 
-/// Creates or changes: both write terms, and differ in the version expected.
+/// Implements "contract create" and "contract change". Both write the terms; a
+/// create expects version 0, that is, no contract.
 class PutContract final : public Command {
 public:
   explicit PutContract(bool IsCreate) : IsCreate_(IsCreate) {}
@@ -80,11 +81,14 @@
                                           "CUSTOMER", Line);
     File_ = std::make_unique<TextArg>("", "file", "the terms, in JSON", true,
                                       "", "FILE", Line);
-    Operator_ = std::make_unique<TextArg>("", "operator", "who asks for it",
+    Operator_ = std::make_unique<TextArg>("", "operator",
+                                          "operator who requests the change",
                                           false, "", "NAME", Line);
     if (!IsCreate_)
       Version_ = std::make_unique<NumberArg>(
-          "", "expect-version", "the version that you saw", true, 0, "N", Line);
+          "", "expect-version",
+          "version of the contract that the change is based on", true, 0, "N",
+          Line);
     DryRun_ = std::make_unique<TCLAP::SwitchArg>(
         "", "dry-run", "show what would change, and change nothing", Line);
   }
@@ -92,7 +96,8 @@
     const nlohmann::json Terms = nlohmann::json::parse(
         readFile(File_->getValue()), nullptr, false, true);
     if (Terms.is_discarded()) {
-      fmt::print(stderr, "cuminroad: {} is no JSON\n", File_->getValue());
+      fmt::print(stderr, "cuminroad: {} is not valid JSON\n",
+                 File_->getValue());
       return ExitUsage;
     }
     if (DryRun_->getValue())
@@ -137,15 +142,18 @@
 public:
   std::string_view name() const override { return "contract retire"; }
   std::string_view summary() const override {
-    return "end a contract; what runs is kept, nothing new starts";
+    return "end a contract: running work continues, no new work starts";
   }
   void addOptions(TCLAP::CmdLine &Line) override {
     Customer_ = std::make_unique<NameArg>("customer", "the customer", true, "",
                                           "CUSTOMER", Line);
-    Operator_ = std::make_unique<TextArg>("", "operator", "who asks for it",
+    Operator_ = std::make_unique<TextArg>("", "operator",
+                                          "operator who requests the change",
                                           false, "", "NAME", Line);
     Version_ = std::make_unique<NumberArg>(
-        "", "expect-version", "the version that you saw", true, 0, "N", Line);
+        "", "expect-version",
+        "version of the contract that the change is based on", true, 0, "N",
+        Line);
   }
   int run(DaemonClient &Client, bool JsonOutput) override {
     const nlohmann::json Body{{"expected_version", Version_->getValue()},
--- a/programs/cuminroad/DaemonClient.h
+++ b/programs/cuminroad/DaemonClient.h
@@ -12,29 +12,32 @@
 
 namespace cuminroad::cli {
 
-/// A daemon's answer.
+/// A daemon's HTTP response.
 struct DaemonResponse {
   int Status = 0;
+  /// Value of the X-Outcome header; empty if there is none.
   std::string Outcome;
   std::string Body;
 
   bool ok() const { return Status >= 200 && Status < 300; }
-  /// \returns the body as JSON, or null where it is none.
+  /// \returns the body parsed as JSON; a discarded value if it is not JSON.
   nlohmann::json json() const;
 };
 
-/// Calls daemons and waits for their answers.
+/// Sends HTTP calls to daemons and blocks until they respond.
 class DaemonClient {
 public:
-  /// \param Servers "address:port" of daemons; a call goes to the first one
-  /// that a connection can be made to.
+  /// \param Servers "address:port" of each daemon.
+  /// \param Token bearer token that is sent with each call, unless it is empty.
   DaemonClient(std::vector<std::string> Servers, std::string Token);
 
+  /// Calls the first daemon that a connection can be made to. A call that may
+  /// have been sent is not repeated with another daemon.
   Result<DaemonResponse> call(const std::string &Method,
                               const std::string &Path,
                               const std::string &Body = {},
                               HttpHeaders Headers = {});
-  /// Calls one certain daemon.
+  /// Calls the daemon at \p Server ("address:port").
   Result<DaemonResponse> callServer(const std::string &Server,
                                     const std::string &Method,
                                     const std::string &Path,
--- a/programs/cuminroad/ExplainJob.cpp
+++ b/programs/cuminroad/ExplainJob.cpp
@@ -1,4 +1,5 @@
-// Tells what became of one job, from the collected logs of all daemons.
+// The "explain" command: reconstructs the history of one job from the collected
+// logs of all daemons.
 
 #include <fstream>
 #include <iostream>
@@ -14,12 +15,12 @@
 
 namespace {
 
-/// Events of a pool or a VM this long before and after a job's own lines belong
-/// to its story, microseconds.
+/// Related events of pools, VMs and daemons are shown if they lie at most this
+/// long before the first or after the last event of the job, in microseconds.
 constexpr std::uint64_t ContextWindowMicros = 3'000'000;
 
-/// Reads one line of a log; anything else than an event is left out. A line may
-/// have words of the collector before the event.
+/// Appends the event in a line of a log, if there is one. A log collector may
+/// have put a prefix before the JSON object of the event.
 void parseLogLine(std::vector<TimelineEvent> &Events, const std::string &Line) {
   const std::size_t EventStart = Line.find('{');
   if (EventStart == std::string::npos)
@@ -35,7 +36,7 @@
                                    Event.at("name"), Event.at("subject"),
                                    Event.at("detail")});
   } catch (const nlohmann::json::exception &) {
-    // Not a line of a daemon.
+    // A JSON object of another program.
   }
 }
 
@@ -44,7 +45,7 @@
   for (const std::string &Path : Paths) {
     std::ifstream File(Path);
     if (!File) {
-      fmt::print(stderr, "cuminroad: can't read {}\n", Path);
+      fmt::print(stderr, "cuminroad: cannot read {}\n", Path);
       return false;
     }
     for (std::string Line; std::getline(File, Line);)
@@ -53,11 +54,14 @@
   return true;
 }
 
+/// \returns whether the event concerns the job itself or one of its parts,
+/// whose ids begin with that of the job.
 bool concernsJob(const TimelineEvent &Event, const std::string &Job) {
   return Event.Subject == Job || Event.Subject.starts_with(Job + ".");
 }
 
-/// Words of the job's lines that name VMs.
+/// \returns all words of the events' details, among them the ids of the VMs
+/// that the job used.
 std::set<std::string>
 collectDetailWords(const std::vector<TimelineEvent> &JobEvents) {
   std::set<std::string> Words;
@@ -69,7 +73,9 @@
   return Words;
 }
 
-/// Events that are not about one job but may be the cause of what became of it.
+/// \returns whether the event concerns no single job but may explain what
+/// happened to one: a change of owner, store or daemon, or an event of a VM
+/// that the job's events name.
 bool isContextEvent(const TimelineEvent &Event,
                     const std::set<std::string> &DetailWords) {
   static const std::set<std::string> Names{
@@ -85,13 +91,13 @@
 public:
   std::string_view name() const override { return "explain"; }
   std::string_view summary() const override {
-    return "what became of a job, from collected logs";
+    return "show the history of a job from collected logs";
   }
   void addOptions(TCLAP::CmdLine &Line) override {
     Job_ = std::make_unique<TCLAP::UnlabeledValueArg<std::string>>(
         "job", "id of the job", true, "", "JOB", Line);
     Logs_ = std::make_unique<TCLAP::UnlabeledMultiArg<std::string>>(
-        "logs", "logs of the daemons", true, "FILE", Line);
+        "logs", "log files of the daemons", true, "FILE", Line);
   }
   int run(DaemonClient &, bool JsonOutput) override {
     std::vector<TimelineEvent> AllEvents;
@@ -112,6 +118,8 @@
   }
 
 private:
+  /// \returns the events of the job and those that may explain them; nothing if
+  /// no event concerns the job.
   static std::vector<TimelineEvent>
   selectRelevantEvents(const std::vector<TimelineEvent> &AllEvents,
                        const std::string &Job) {
--- a/programs/cuminroad/InspectionCommands.cpp
+++ b/programs/cuminroad/InspectionCommands.cpp
@@ -12,8 +12,10 @@
 
 using TextArg = TCLAP::ValueArg<std::string>;
 
-/// \returns the state of every daemon that answers, by the member list of the
-/// first one.
+/// Asks the first reachable daemon for the list of daemons and then each of
+/// them for its state. \returns the states, with an entry marked as unreachable
+/// for each daemon that did not respond; nothing if \p FirstResponse is a
+/// failure.
 std::vector<nlohmann::json> readStates(DaemonClient &Client,
                                        Result<DaemonResponse> &FirstResponse) {
   std::vector<nlohmann::json> DaemonStates;
@@ -108,8 +110,8 @@
   }
   void addOptions(TCLAP::CmdLine &Line) override {
     HtmlFile_ = std::make_unique<TextArg>(
-        "", "html", "write a page with a lane for each process", false, "",
-        "FILE", Line);
+        "", "html", "write an HTML page with a column for each process", false,
+        "", "FILE", Line);
   }
   int run(DaemonClient &Client, bool JsonOutput) override {
     Result<DaemonResponse> FirstResponse = Client.call("GET", "/v1/state");
@@ -123,7 +125,7 @@
       if (Response && Response->ok())
         addEvents(Events, Response->json());
       else
-        fmt::print(stderr, "cuminroad: {} does not answer\n",
+        fmt::print(stderr, "cuminroad: {} did not respond\n",
                    Member.at("name").get<std::string>());
     }
     sortCausally(Events);
--- a/programs/cuminroad/Timeline.h
+++ b/programs/cuminroad/Timeline.h
@@ -9,9 +9,10 @@
 
 namespace cuminroad::cli {
 
-/// An event of one daemon.
+/// An event from a daemon's event log.
 struct TimelineEvent {
-  /// Stamp of the daemon's hybrid logical clock, microseconds.
+  /// Time of the daemon's hybrid logical clock, in microseconds since the Unix
+  /// epoch.
   std::uint64_t Stamp = 0;
   std::string Process;
   std::string Name;
@@ -19,15 +20,16 @@
   std::string Detail;
 };
 
-/// Appends the events of one daemon's answer.
+/// Appends the events of one daemon's response to GET /v1/events.
 void addEvents(std::vector<TimelineEvent> &Events,
                const nlohmann::json &Response);
-/// Sorts by stamp: a cause has a smaller stamp than its effects, since stamps
-/// travel with the messages between daemons.
+/// Sorts by stamp. An effect always has a larger stamp than its cause, also on
+/// another daemon, because messages between daemons carry stamps and advance
+/// the receiver's clock.
 void sortCausally(std::vector<TimelineEvent> &Events);
 std::string renderText(const std::vector<TimelineEvent> &Events);
 nlohmann::json renderJson(const std::vector<TimelineEvent> &Events);
-/// \returns a page that needs no other file, with a lane for each process.
+/// \returns a self-contained HTML page with a column for each process.
 std::string renderHtml(const std::vector<TimelineEvent> &Events);
 
 } // namespace cuminroad::cli
--- a/programs/cuminroad/WorkloadCommands.cpp
+++ b/programs/cuminroad/WorkloadCommands.cpp
@@ -17,7 +17,7 @@
 public:
   std::string_view name() const override { return "request"; }
   std::string_view summary() const override {
-    return "send one service request and print its answer";
+    return "send one service request and print the response";
   }
   void addOptions(TCLAP::CmdLine &Line) override {
     Customer_ = std::make_unique<NameArg>("customer", "the customer", true, "",
@@ -27,10 +27,11 @@
     Body_ = std::make_unique<TextArg>("", "body", "the request's body", false,
                                       "", "TEXT", Line);
     Idempotent_ = std::make_unique<TCLAP::SwitchArg>(
-        "", "idempotent", "the request may run more than once", Line);
+        "", "idempotent", "the request may be run more than once", Line);
     Key_ = std::make_unique<TextArg>("", "key", "idempotency key", false, "",
                                      "KEY", Line);
-    Ticket_ = std::make_unique<TextArg>("", "ticket", "ticket, see 'ticket'",
+    Ticket_ = std::make_unique<TextArg>("", "ticket",
+                                        "ticket from the 'ticket' command",
                                         false, "", "TICKET", Line);
     Deadline_ = std::make_unique<NumberArg>("", "deadline-ms", "deadline",
                                             false, 0, "MS", Line);
@@ -65,7 +66,7 @@
 public:
   std::string_view name() const override { return "ticket"; }
   std::string_view summary() const override {
-    return "get a ticket for a request that may run only once";
+    return "get a ticket for a request that must not run more than once";
   }
   void addOptions(TCLAP::CmdLine &) override {}
   int run(DaemonClient &Client, bool) override {
@@ -92,7 +93,7 @@
   std::unique_ptr<TextArg> File_;
 };
 
-/// Shows or cancels a job: both name it and print the answer.
+/// Implements "job show" and "job cancel", which take the same arguments.
 class ShowOrCancelJob final : public Command {
 public:
   explicit ShowOrCancelJob(bool IsCancel) : IsCancel_(IsCancel) {}
@@ -100,7 +101,8 @@
     return IsCancel_ ? "job cancel" : "job show";
   }
   std::string_view summary() const override {
-    return IsCancel_ ? "cancel a job" : "show a job, and why it waits";
+    return IsCancel_ ? "cancel a job"
+                     : "show a job and the reason why it waits";
   }
   void addOptions(TCLAP::CmdLine &Line) override {
     Id_ = std::make_unique<NameArg>("id", "the job", true, "", "ID", Line);
@@ -119,13 +121,13 @@
 public:
   std::string_view name() const override { return "vm drain"; }
   std::string_view summary() const override {
-    return "give a VM no new work and move what can be moved";
+    return "stop placing work on a VM and move its work where possible";
   }
   void addOptions(TCLAP::CmdLine &Line) override {
     Vm_ = std::make_unique<NameArg>("vm", "the VM", true, "", "VM", Line);
   }
   int run(DaemonClient &Client, bool) override {
-    // Each daemon knows the VMs of its own failure domain.
+    // A daemon knows only the VMs of its own failure domain, so each is tried.
     Result<DaemonResponse> Response =
         failure(ErrorCode::ConnectFailed, "no server given");
     for (const std::string &Server : Client.servers()) {
--- a/programs/cuminroad/main.cpp
+++ b/programs/cuminroad/main.cpp
@@ -1,4 +1,4 @@
-// The command line of operators and callers.
+// The command line tool for operators and for customers' callers.
 
 #include <algorithm>
 #include <cstdlib>
@@ -38,11 +38,12 @@
   return Value == nullptr ? Default : Value;
 }
 
-/// Parses the options behind the command's name and runs it.
+/// Parses the options that follow the command's name and runs the command.
+/// \returns the exit code.
 int runCommand(Command &Selected, std::vector<std::string> Arguments) {
   TCLAP::CmdLine Line(std::string(Selected.summary()), ' ', "0.1");
   TCLAP::ValueArg<std::string> Server(
-      "", "server", "daemons to call, the first reachable one is taken", false,
+      "", "server", "daemons to call; the first reachable one is used", false,
       fromEnvironment("CUMINROAD_SERVER", DefaultServer), "ADDRESS:PORT,...",
       Line);
   TCLAP::ValueArg<std::string> Token(
@@ -50,10 +51,10 @@
       fromEnvironment("CUMINROAD_TOKEN", ""), "TOKEN", Line);
   std::vector<std::string> Formats{"text", "json"};
   TCLAP::ValuesConstraint<std::string> Allowed(Formats);
-  TCLAP::ValueArg<std::string> Output("", "output", "form of the output", false,
+  TCLAP::ValueArg<std::string> Output("", "output", "output format", false,
                                       "text", &Allowed, Line);
   Selected.addOptions(Line);
-  // TCLAP would end the process with a code of its own.
+  // Otherwise TCLAP would end the process with its own exit code.
   Line.setExceptionHandling(false);
   try {
     Line.parse(Arguments);
--- a/programs/cuminroadd/FleetDaemonMain.cpp
+++ b/programs/cuminroadd/FleetDaemonMain.cpp
@@ -18,10 +18,12 @@
 
 namespace {
 
-/// Events kept in memory for the time line.
+/// Capacity of the in-memory event log, from which the 'timeline' command
+/// reads.
 constexpr std::size_t MaxEvents = 2000;
 
-/// Takes signals on a thread of its own until SIGTERM or SIGINT.
+/// Blocks until SIGTERM or SIGINT arrives. A SIGHUP is recorded in the event
+/// log and otherwise ignored.
 void waitForStopSignal(const sigset_t &Signals, EventLog &Events,
                        const std::string &Name) {
   int Signal = 0;
@@ -59,7 +61,8 @@
     ControlLoop->post([&RunningDaemon] { RunningDaemon->stop(); });
   });
   ControlLoop->run();
-  // The daemon may end without a signal; the waiter must end all the same.
+  // If the daemon ended without a signal, the thread is still blocked in
+  // sigwait().
   pthread_kill(SignalThread.native_handle(), SIGTERM);
   SignalThread.join();
 }
--- a/programs/cuminroadd/FleetDaemonMain.h
+++ b/programs/cuminroadd/FleetDaemonMain.h
@@ -5,7 +5,8 @@
 
 namespace cuminroad {
 
-/// Runs a daemon of the fleet on the platform until it is told to stop.
+/// Runs a daemon on the operator platform until SIGTERM or SIGINT arrives or
+/// the daemon ends by itself.
 void runFleetDaemon(const PlatformSettings &Config);
 
 } // namespace cuminroad
--- a/programs/cuminroadd/main.cpp
+++ b/programs/cuminroadd/main.cpp
@@ -1,4 +1,4 @@
-// The daemon of an entry VM.
+// The daemon that runs on an entry VM.
 
 #include <csignal>
 #include <cstdlib>
@@ -24,7 +24,7 @@
 constexpr int ExitFailed = 1;
 constexpr int ExitBadSettings = 2;
 
-/// \returns the file's text, or nothing where it can't be read.
+/// \returns the contents of the file, or nothing if it cannot be read.
 std::optional<std::string> readFile(const std::string &Path) {
   std::ifstream File(Path);
   if (!File)
@@ -42,7 +42,8 @@
 }
 
 void runDaemon(const Settings &Config) {
-  // The signals are taken by one thread; all others inherit the block.
+  // Only the thread below waits for the signals; all threads started from now
+  // on inherit the blocked mask.
   sigset_t Signals;
   sigemptyset(&Signals);
   sigaddset(&Signals, SIGTERM);
@@ -56,19 +57,21 @@
     RunningDaemon->stop();
   });
   RunningDaemon->run();
-  // A daemon may end without a signal; the waiter must end all the same.
+  // If the daemon ended without a signal, the thread is still blocked in
+  // sigwait().
   pthread_kill(SignalThread.native_handle(), SIGTERM);
   SignalThread.join();
 }
 
-/// Parses the settings, and runs \p Serve unless they are only to be checked.
+/// Reads and parses the settings file, then calls \p Run with the settings
+/// unless \p CheckOnly is set. \returns the exit code.
 template <typename Parser, typename Runner>
 int checkAndRun(const std::string &Path, bool CheckOnly, Parser ParseSettings,
                 Runner Run) {
   const auto Text = readFile(Path);
   if (!Text)
     return printSettingsErrors(
-        Path, {Error{ErrorCode::MissingField, "can't read the file " + Path}});
+        Path, {Error{ErrorCode::MissingField, "cannot read the file " + Path}});
   const auto Config = ParseSettings(*Text);
   if (!Config)
     return printSettingsErrors(Path, Config.error());
@@ -83,17 +86,19 @@
 
 int main(int Argc, char **Argv) {
   try {
-    TCLAP::CmdLine Line("cuminroadd: the daemon of an entry VM", ' ', "0.2");
+    TCLAP::CmdLine Line("cuminroadd: the daemon that runs on an entry VM", ' ',
+                        "0.2");
     TCLAP::SwitchArg CheckOnly("", "check-settings",
-                               "check the settings and end", Line);
+                               "check the settings file and exit", Line);
     TCLAP::SwitchArg UsePlatform(
         "", "platform",
-        "run on the operator platform, with the settings file that it wrote",
+        "run on the operator platform, with the settings file that the "
+        "platform wrote",
         Line);
     TCLAP::UnlabeledValueArg<std::string> File(
         "settings",
-        "settings, in JSON with comments; with --platform, the file named by "
-        "CUMINROAD_CONFIG where none is given",
+        "settings file, in JSON with comments; with --platform it may be "
+        "omitted, and is then taken from CUMINROAD_CONFIG",
         false, "", "FILE", Line);
     Line.parse(Argc, Argv);
     std::string Path = File.getValue();
