--- a/standins/StandinServer.h
+++ b/standins/StandinServer.h
@@ -13,14 +13,16 @@
 
 namespace cuminroad::standin {
 
-/// Answers with a status and a JSON body.
+/// Sends a response with an HTTP status and a JSON body.
 void respondJson(const HttpResponder &Respond, int Status,
                  const nlohmann::json &Body = nlohmann::json::object());
 
-/// Appends what a stand-in saw to a file, a JSON object a line, stamped with
-/// the machine's monotonic nanoseconds, which all processes share.
+/// A file to which a simulator appends what happened, for the checks after a
+/// test. Each line is a JSON object; its field "t" is the machine's monotonic
+/// clock in nanoseconds, which can be compared between processes.
 class HistoryFile {
 public:
+  /// \param Path the file to append to; if empty, nothing is written.
   explicit HistoryFile(const std::string &Path);
   ~HistoryFile();
   void write(nlohmann::json Event);
@@ -29,7 +31,8 @@
   std::FILE *File_ = nullptr;
 };
 
-/// Serves on 127.0.0.1 until SIGTERM; the handler runs on the loop's thread.
+/// Serves HTTP on 127.0.0.1 until SIGTERM or SIGINT. The handler runs on the
+/// loop's thread. \returns the exit code of the program.
 int serveUntilSignal(int Port, RunnableLoop &ControlLoop,
                      const HttpHandler &Handler);
 
--- a/standins/backend/BackendVm.cpp
+++ b/standins/backend/BackendVm.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 
+/// How long a task takes to write a checkpoint before it stops.
 constexpr milliseconds CheckpointDuration{100};
 constexpr milliseconds LeaseCheckInterval{50};
+/// Delay of the end of a task without a checkpoint, and of its report.
 constexpr milliseconds ReportDelay{20};
 
 std::int64_t millisecondsBetween(TimePoint Start, TimePoint Now) {
@@ -105,7 +107,7 @@
     RequestCustomers_.erase(Id);
     History_.write(
         {{"ev", "request_end"}, {"vm", Id_}, {"id", Id}, {"mark", Mark}});
-    // A hanging VM has done the work, but its answer never leaves it.
+    // A hanging VM has done the work but does not send the response.
     if (!Hang)
       Respond(HttpResponse{200, {{"X-Request-Id", Id}}, ResponseBody});
   };
@@ -227,7 +229,7 @@
 
 std::string BackendVm::startTask(const nlohmann::json &Input) {
   const TaskKey Key = parseTaskKey(Input);
-  // The same attempt again is a resent start, not a second run.
+  // A start that was sent again; the attempt must not run twice.
   if (Tasks_.contains(Key) || Ended_.contains(Key))
     return "started";
   if (Faults_.Leaving) {
@@ -262,7 +264,8 @@
     const TaskKey Key = parseTaskKey(Input);
     const auto Found = Tasks_.find(Key);
     if (Found == Tasks_.end()) {
-      // Never started here, or ended and acknowledged: confirm all the same.
+      // Never started here, or its end is acknowledged already: the stop is
+      // confirmed nevertheless.
       Ended_.try_emplace(Key, EndedTask{false, true, false});
       continue;
     }
@@ -299,7 +302,7 @@
   recordTaskEvent(Stopped ? "task_stopped" : "task_end", Key, Found->second);
   Tasks_.erase(Found);
   Ended_[Key] = EndedTask{Failed, Stopped, false};
-  // Ends that come close together share one answer.
+  // Delayed, so that ends close together are reported in one response.
   ControlLoop_.after(ReportDelay, [this] {
     if (PendingRenewal_ && hasUnreportedChanges())
       respondToRenewal();
--- a/standins/backend/BackendVm.h
+++ b/standins/backend/BackendVm.h
@@ -10,18 +10,20 @@
 
 namespace cuminroad::standin {
 
-/// One VM: it runs tasks under a lease, answers service requests in slots, and
-/// can be told to fail.
+/// A simulated backend server's VM. It runs tasks while its lease is valid,
+/// handles as many service requests at once as it has slots, and injects faults
+/// that a test sets with the call "control".
 class BackendVm {
 public:
   BackendVm(const nlohmann::json &Spec, Loop &ControlLoop,
             HistoryFile &History);
 
-  /// Handles a call whose path below the VM is \p Path.
+  /// Handles a call. \p Path is the part of the URL's path after the VM's id.
   void handle(const std::string &Path, const HttpRequest &Request,
               const HttpResponder &Respond);
 
 private:
+  /// Job id, index of the task in the job, and attempt.
   using TaskKey = std::tuple<std::string, int, std::int64_t>;
   struct Task {
     std::int64_t MilliCores = 0;
@@ -40,9 +42,14 @@
     bool RefuseStarts = false;
     bool FailTasks = false;
     bool Leaving = false;
+    /// Requests run, but their responses are never sent.
     bool HangRequests = false;
+    /// Calls other than holder and control are not handled and get no response.
     bool Unreachable = false;
+    /// Added to the run time of each request, in milliseconds.
     int SlowMs = 0;
+    /// Tasks that start from now on report to use this much more memory than
+    /// they requested, if it is above 0.
     int MemoryGrowthMb = 0;
   };
 
@@ -52,6 +59,7 @@
                          const HttpResponder &Respond);
   void rejectFencingToken(const HttpResponder &Respond);
   void stopTasksIfLeaseExpired();
+  /// Ends the tasks on time if the lease expires while no calls arrive.
   void checkLeasePeriodically();
   void handleServiceRequest(const HttpRequest &Request,
                             const HttpResponder &Respond);
@@ -63,11 +71,15 @@
   void listRequestsInFlight(const HttpResponder &Respond) const;
   void throttleTasks(const nlohmann::json &Body, const HttpResponder &Respond);
   void setFaults(const nlohmann::json &Body, const HttpResponder &Respond);
-  /// Takes a copy: the key may be the one of the entry that it erases.
+  /// Takes the key by value, since a reference could point into the entry that
+  /// is erased.
   void endTask(TaskKey Key, bool Failed, bool Stopped);
-  /// \returns all ends that are not acknowledged.
+  /// \returns all unacknowledged ends as JSON, and marks them as reported.
   nlohmann::json reportTaskEnds();
+  /// Responds to the pending renewal with all changes.
   void respondToRenewal();
+  /// \returns whether a task end, memory usage or the VM's leaving has not been
+  /// reported to the lease holder yet.
   bool hasUnreportedChanges() const;
   void recordTaskEvent(const char *EventName, const TaskKey &Key,
                        const Task &Entry);
@@ -81,7 +93,7 @@
   std::int64_t Accelerators_;
   int Slots_;
   int BusySlots_ = 0;
-  /// Customers of the requests in flight, by request.
+  /// The customer of each request in flight, by request id.
   std::map<std::string, std::string> RequestCustomers_;
   Faults Faults_;
   std::int64_t FencingToken_ = 0;
@@ -91,7 +103,9 @@
   bool LeavingReported_ = false;
   std::map<TaskKey, Task> Tasks_;
   std::map<TaskKey, EndedTask> Ended_;
+  /// The renewal that waits for changes (long poll); empty if there is none.
   HttpResponder PendingRenewal_;
+  /// Number of the latest renewal, to recognize an outdated timeout.
   std::uint64_t RenewalNumber_ = 0;
 };
 
--- a/standins/backend/main.cpp
+++ b/standins/backend/main.cpp
@@ -1,5 +1,5 @@
-// Stand-in for backend servers: one process plays several VMs, each below its
-// own path.
+// Simulates backend servers for tests: one process serves several VMs, each
+// under a path of its own.
 //
 // usage: standin_backend PORT VMS.json HISTORY.jsonl
 
--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -1,5 +1,6 @@
-// Stand-in for the platform: the transactional table service, the object store
-// and the lagging list of VMs, with failures on demand.
+// Simulates the platform for tests: the transactional table service, the object
+// store and the list of VMs, which may lag behind. Tests inject faults with
+// /control.
 //
 // usage: standin_platform PORT
 
@@ -19,14 +20,20 @@
 };
 
 struct Faults {
+  /// All calls except those of the test itself (/control, /counts,
+  /// /vms/register, /vms/state) fail with status 503.
   bool Down = false;
+  /// Delay of each such call, in milliseconds.
   int SlowMs = 0;
-  /// Commits whose reply is lost after the write took effect.
+  /// Number of commits, from now on, that take effect but whose responses are
+  /// lost.
   int LoseReplies = 0;
+  /// Delay until a changed state of a VM appears in the list, in milliseconds.
   int ListLagMs = 0;
 };
 
-/// A lost reply is held back for longer than any client waits.
+/// A lost response is delayed by this time, which exceeds every client's
+/// timeout.
 constexpr milliseconds LostReplyDelay{20000};
 
 class Platform {
