--- a/benchmark/FirstComeFirstFit.cpp
+++ b/benchmark/FirstComeFirstFit.cpp
@@ -20,7 +20,6 @@
   Running_.erase(Found);
 }
 
-/// Starts one task of a job, or all of a gang.
 bool FirstComeFirstFit::startTasks(const JobSpec &Spec, int FirstTask) {
   const int TaskLimit = Spec.Kind == JobKind::Gang ? Spec.Tasks : FirstTask + 1;
   std::vector<std::size_t> VmIndices;
--- a/benchmark/FirstComeFirstFit.h
+++ b/benchmark/FirstComeFirstFit.h
@@ -9,8 +9,8 @@
 
 namespace cuminroad {
 
-/// The naive baseline: jobs start in the order of their arrival on the first
-/// VM with room, and the first one that can't start holds up all behind it.
+/// The baseline scheduler: jobs start in order of arrival, each on the first VM
+/// with enough free capacity. A job that cannot start blocks all later ones.
 class FirstComeFirstFit final : public Scheduler {
 public:
   void listVm(const VmSpec &Spec) override;
@@ -43,10 +43,15 @@
     VmSpec Spec;
     Capacity Free;
   };
+  /// Starts task \p FirstTask of a job, or all tasks if the job is a gang.
+  /// \returns false, with nothing started, if there is not enough free
+  /// capacity.
   bool startTasks(const JobSpec &Spec, int FirstTask);
 
   std::vector<Vm> Vms_;
+  /// Waiting jobs, each with the index of its next task.
   std::deque<std::pair<JobSpec, int>> Queue_;
+  /// The VM's index and the size of each running task.
   std::map<TaskRef, std::pair<std::size_t, Capacity>> Running_;
   std::vector<Command> Commands_;
 };
--- a/benchmark/LoadGenerator.cpp
+++ b/benchmark/LoadGenerator.cpp
@@ -1,8 +1,11 @@
-// Sends requests on a fixed schedule and reports throughput and latency. A late
-// answer delays no later request, and latency counts from the time at which the
-// request was due, so that slow answers aren't hidden.
+// Sends requests on a fixed schedule and prints throughput and latency as JSON.
+// A late response delays no later request, and latency is measured from the
+// time at which the request was due, so that slow responses are not hidden
+// (coordinated omission).
 //
 // usage: load_generator RATE SECONDS BODY URL...
+//
+// RATE is in requests per second; the URLs are used in turn.
 
 #include <algorithm>
 #include <atomic>
@@ -19,6 +22,7 @@
 
 namespace {
 
+/// How long to wait for outstanding responses after the last request.
 constexpr milliseconds DrainTimeout{5000};
 
 struct Measurements {
--- a/benchmark/PoolBenchmark.cpp
+++ b/benchmark/PoolBenchmark.cpp
@@ -1,6 +1,9 @@
-// Cost of the pool scheduler's passes, against the number of jobs that wait.
+// Measures the time of a scheduling pass of the pool scheduler for several
+// numbers of waiting jobs, and prints a Markdown table.
 //
-//   pool_benchmark [VMS] [JOBS]
+// usage: pool_benchmark [VMS] [JOBS]
+//
+// JOBS restricts the run to one of the numbers of jobs.
 
 #include <chrono>
 #include <cstdlib>
@@ -24,7 +27,7 @@
       .count();
 }
 
-/// A pool under more work than it has room for, as after an outage.
+/// A pool with more waiting work than capacity, as after an outage.
 class OverloadedPool {
 public:
   OverloadedPool(int Vms, int Jobs)
@@ -41,7 +44,8 @@
       addJob(Number);
   }
 
-  /// \returns the time of one pass, with what follows from it.
+  /// Runs one pass, including the encoding of changed progress records.
+  /// \returns its time in milliseconds.
   double runPass() {
     const auto Begin = BenchmarkClock::now();
     Scheduler_->schedule();
@@ -56,7 +60,7 @@
     return ElapsedMs;
   }
 
-  /// Ends a part of what runs, and lets time pass.
+  /// Advances the clock by 15 ms and ends one run in 40, chosen at random.
   void endSomeRuns() {
     MonotonicClock_.advance(milliseconds(15));
     const std::size_t EndCount = Running_.size() / 40;
@@ -98,6 +102,8 @@
     Scheduler_->addJob(Plan, Terms, MonotonicClock_.now());
   }
 
+  /// Carries out a command: a start succeeds, and the advisor allows about 70 %
+  /// of the VMs that it is asked for.
   void respondTo(const PoolCommand &Command) {
     if (const auto *Start = std::get_if<StartRun>(&Command)) {
       Scheduler_->startAnswered(Start->Vm, Start->Run, StartOutcome::Accepted);
@@ -130,8 +136,9 @@
 
 int main(int Argc, char **Argv) {
   const int Vms = Argc > 1 ? std::atoi(Argv[1]) : 252;
-  fmt::print("| jobs | ms a pass, mean | ms a pass, worst | starts a pass | "
-             "questions a pass | bytes recorded a pass |\n");
+  fmt::print(
+      "| jobs | ms per pass, mean | ms per pass, max | starts per pass | "
+      "advice requests per pass | bytes recorded per pass |\n");
   fmt::print("| --- | --- | --- | --- | --- | --- |\n");
   for (const int Jobs : {10, 100, 300, 1000, 3000}) {
     if (Argc > 2 && Jobs != std::atoi(Argv[2]))
--- a/benchmark/SchedulingBenchmark.cpp
+++ b/benchmark/SchedulingBenchmark.cpp
@@ -1,4 +1,5 @@
-// Measures the scheduler against first come, first fit, in one run.
+// Compares the scheduler with the first-come, first-fit baseline in one run, on
+// the same simulated load, and measures the scheduler's memory.
 //
 // usage: scheduling_benchmark
 
@@ -14,6 +15,7 @@
 namespace {
 
 constexpr std::uint32_t Seed = 20261204;
+/// The site's size at present, and as expected in two years.
 constexpr SiteParameters Today{35, 13, 40, 90};
 constexpr SiteParameters InTwoYears{380, 140, 210, 90};
 constexpr milliseconds RunTime{180000};
@@ -23,11 +25,12 @@
 void printWaitTimes(const char *Class, const WaitStatistics &Ours,
                     const WaitStatistics &Baseline) {
   fmt::print("  wait {:<8} p50 {:>8.0f} p99 {:>8.0f} max {:>8.0f} ms ({}) | "
-             "naive p50 {:>8.0f} p99 {:>8.0f} max {:>8.0f} ms\n",
+             "baseline p50 {:>8.0f} p99 {:>8.0f} max {:>8.0f} ms\n",
              Class, Ours.P50, Ours.P99, Ours.Max, Ours.Count, Baseline.P50,
              Baseline.P99, Baseline.Max);
 }
 
+/// Runs both schedulers on the same arrivals and prints their results.
 void compare(const char *Name, const SiteParameters &Parameters) {
   SiteModel OurSite(Parameters, Seed);
   const auto OurScheduler =
@@ -41,25 +44,27 @@
   fmt::print("{}: {} VMs, {} customers, load {} %, {} s\n", Name,
              Parameters.SmallVms + Parameters.LargeVms, Parameters.Customers,
              Parameters.LoadPercent, RunTime.count() / 1000);
-  fmt::print("  decisions {:>8}, {:>9.0f} a second (naive {:>9.0f}, ratio "
+  fmt::print("  decisions {:>8}, {:>9.0f} per second (baseline {:>9.0f}, ratio "
              "{:.2f})\n",
              OurResults.Decisions, OurResults.DecisionsPerSecond,
              BaselineResults.DecisionsPerSecond,
              OurResults.DecisionsPerSecond /
                  BaselineResults.DecisionsPerSecond);
-  fmt::print("  one decision p50 {:.1f} p99 {:.1f} us (naive p50 {:.1f} p99 "
+  fmt::print("  one decision p50 {:.1f} p99 {:.1f} us (baseline p50 {:.1f} p99 "
              "{:.1f})\n",
              OurResults.P50Micros, OurResults.P99Micros,
              BaselineResults.P50Micros, BaselineResults.P99Micros);
-  fmt::print("  processors in use at the end {:.1f} % (naive {:.1f} %), never "
-             "started {} (naive {})\n",
-             OurResults.UsedPercent, BaselineResults.UsedPercent,
-             OurResults.NeverStarted, BaselineResults.NeverStarted);
+  fmt::print(
+      "  processors in use at the end {:.1f} % (baseline {:.1f} %), never "
+      "started {} (baseline {})\n",
+      OurResults.UsedPercent, BaselineResults.UsedPercent,
+      OurResults.NeverStarted, BaselineResults.NeverStarted);
   printWaitTimes("urgent", OurResults.Urgent, BaselineResults.Urgent);
   printWaitTimes("batch", OurResults.Batch, BaselineResults.Batch);
   printWaitTimes("gang", OurResults.Gang, BaselineResults.Gang);
 }
 
+/// Compares how full a site gets before the first task has to wait.
 void compareUtilization(const char *Name, const SiteParameters &Parameters) {
   double OurPercent = 0;
   double BaselinePercent = 0;
@@ -75,13 +80,12 @@
     BaselineSite.addVmsAndCustomers(Baseline);
     BaselinePercent += BaselineSite.fillUntilFirstWait(Baseline) / Rounds;
   }
-  fmt::print(
-      "{}: scarcest resource in use when the first task waits {:.1f} % (naive "
-      "{:.1f} %, bound 100 %), mean of {} seeds\n",
-      Name, OurPercent, BaselinePercent, Rounds);
+  fmt::print("{}: scarcest resource in use when the first task waits {:.1f} % "
+             "(baseline {:.1f} %, upper bound 100 %), mean of {} seeds\n",
+             Name, OurPercent, BaselinePercent, Rounds);
 }
 
-/// Heap growth from adding more of one thing, divided by how many.
+/// \returns the heap growth per item while \p Count items are added.
 template <typename Add> double bytesPerItem(int Count, Add AddItem) {
   const std::size_t Before = heapBytes();
   for (int Index = 0; Index < Count; ++Index)
@@ -115,8 +119,8 @@
     TestedScheduler->schedule();
     (void)TestedScheduler->takeCommands();
   });
-  fmt::print("memory of the scheduler: {:.0f} B a VM, {:.0f} B a customer, "
-             "{:.0f} B a job of one task\n",
+  fmt::print("memory of the scheduler: {:.0f} B per VM, {:.0f} B per customer, "
+             "{:.0f} B per job of one task\n",
              PerVm, PerCustomer, PerTask);
 }
 
--- a/benchmark/SiteModel.cpp
+++ b/benchmark/SiteModel.cpp
@@ -12,15 +12,20 @@
 constexpr Capacity LargeVm{128000, 256000, 8};
 constexpr int SmallVmsPerRack = 5;
 constexpr int LargeVmsPerRack = 3;
-/// Mean run time of a task that ends.
+/// Mean run time of a task that is no service, in milliseconds.
 constexpr double MeanRunMs = 28000;
+/// Share of the target load.
 constexpr double ServiceShare = 0.2;
+/// Share of the jobs that are neither services nor urgent.
 constexpr double GangShare = 0.05;
+/// One customer in this many is urgent.
 constexpr int UrgentCustomerInterval = 20;
-/// Mean processors of a task, see pickSize().
+/// Mean number of cores of a task; follows from randomTaskSize().
 constexpr double MeanTaskCores = 4.3;
+/// Share of the tasks that use accelerators.
 constexpr double AcceleratorShare = 0.05;
-/// Arrivals come in waves around the mean rate.
+/// The arrival rate varies in waves: for WaveCrest of each WavePeriod it is
+/// CrestFactor times the mean, and otherwise TroughFactor times the mean.
 constexpr milliseconds WavePeriod{60000};
 constexpr milliseconds WaveCrest{20000};
 constexpr double CrestFactor = 1.5;
@@ -84,7 +89,7 @@
   Spec.Id = fmt::format("j{}", NextJobNumber_++);
   const int Customer =
       std::uniform_int_distribution<int>(0, Parameters_.Customers - 1)(Random_);
-  // Urgent customers bring quick checks, not long-running work.
+  // Urgent customers submit short checks and run no services.
   const bool Urgent = Customer % UrgentCustomerInterval == 0 && !Service;
   const int CustomerIndex =
       Customer % UrgentCustomerInterval == 0 && Service ? 1 : Customer;
@@ -212,7 +217,8 @@
     submit(TestedScheduler, randomJob(true));
     runPass(TestedScheduler);
   }
-  // Arrivals that keep the rest of the target busy, by Little's law.
+  // By Little's law, the arrival rate of jobs that keeps the rest of the target
+  // load busy.
   const double RunningTasks = static_cast<double>(TotalMilliCores_) / 1000.0 *
                               TargetLoad * (1 - ServiceShare) / MeanTaskCores;
   const double TasksPerJob = 1 + GangShare * 7;
--- a/benchmark/SiteModel.h
+++ b/benchmark/SiteModel.h
@@ -13,16 +13,18 @@
 
 namespace cuminroad {
 
-/// The size of a site.
+/// Size and load of a simulated site.
 struct SiteParameters {
   int SmallVms;
   int LargeVms;
   int Customers;
-  /// Share of the processors asked for, in percent, once in equilibrium.
+  /// Share of the processors that the running work requests in equilibrium, in
+  /// percent.
   int LoadPercent;
 };
 
-/// How long work of one class waited, in milliseconds of the model's time.
+/// How long the jobs of one class waited for their first start, in milliseconds
+/// of simulated time.
 struct WaitStatistics {
   std::size_t Count = 0;
   double P50 = 0;
@@ -30,13 +32,14 @@
   double Max = 0;
 };
 
-/// What one run measured.
+/// The results of one run.
 struct SiteResults {
+  /// Started tasks.
   std::size_t Decisions = 0;
   double DecisionsPerSecond = 0;
   double P50Micros = 0;
   double P99Micros = 0;
-  /// Share of the processors in use, in percent, at the end of the run.
+  /// Share of the processors in use at the end of the run, in percent.
   double UsedPercent = 0;
   WaitStatistics Urgent;
   WaitStatistics Batch;
@@ -44,20 +47,23 @@
   std::size_t NeverStarted = 0;
 };
 
-/// Feeds a scheduler with the arrivals and ends of a site, from a fixed seed.
-/// Sizes follow the users' VMs: 16 cores and 32 GB, or 128 cores, 256 GB and 8
-/// accelerators. A fifth of the tasks are services that do not end; declared
-/// run times are off by up to four times.
+/// Simulates the arrivals and ends of jobs at a site, reproducibly from a seed,
+/// and passes them to a scheduler. VMs have the sizes of the users' VMs: 16
+/// cores and 32 GB, or 128 cores, 256 GB and 8 accelerators. A fifth of the
+/// load are services that do not end. Estimated run times are wrong by a factor
+/// of up to four.
 class SiteModel {
 public:
   SiteModel(const SiteParameters &Parameters, std::uint32_t Seed);
 
-  /// Makes the scheduler's VMs and customers.
+  /// Adds the site's VMs and customers to the scheduler.
   void addVmsAndCustomers(Scheduler &TestedScheduler);
-  /// Fills the site, then lets work come and go for \p Time.
+  /// Starts the services, then simulates arriving and ending jobs for
+  /// \p Duration.
   SiteResults run(Scheduler &TestedScheduler, milliseconds Duration);
-  /// Submits work until a task has to wait.
-  /// \returns the share of the scarcest resource in use then, in percent.
+  /// Submits jobs until a task has to wait.
+  /// \returns the share of the scarcest resource that is in use then, in
+  /// percent.
   double fillUntilFirstWait(Scheduler &TestedScheduler);
   ManualClock &clock() { return Clock_; }
 
@@ -65,6 +71,7 @@
   struct PlannedEnd {
     TimePoint Time;
     TaskAttempt Task;
+    /// Reversed, so that the queue's top is the earliest end.
     bool operator<(const PlannedEnd &Other) const { return Time > Other.Time; }
   };
   struct Arrival {
@@ -77,10 +84,12 @@
   JobSpec randomJob(bool Service);
   Capacity randomTaskSize(bool Urgent);
   void submit(Scheduler &TestedScheduler, const JobSpec &Spec);
+  /// Runs a scheduling pass, measures it and carries out its commands.
   void runPass(Scheduler &TestedScheduler);
+  /// Ends the tasks whose run time has passed, with a pass after each.
   void endDueTasks(Scheduler &TestedScheduler);
   double usedProcessorPercent() const;
-  /// \returns the share in use of what is scarcest, in percent.
+  /// \returns the share of the scarcest resource that is in use, in percent.
   static double scarcestResourcePercent(const Scheduler &TestedScheduler);
   WaitStatistics waitStatistics(std::vector<double> Waits) const;
 
