--- a/benchmark/SiteModel.h
+++ b/benchmark/SiteModel.h
@@ -13,91 +13,100 @@
 
 namespace cuminroad {
 
-/// The size of a site.
-struct SiteSize {
+/// Size and load of a simulated site.
+struct SiteParameters {
   int SmallVms;
   int LargeVms;
   int Customers;
-  /// Share of the processors asked for, in percent, once in equilibrium.
+  /// Share of the processors that the running work requests in equilibrium, in
+  /// percent.
   int LoadPercent;
 };
 
-/// How long work of one class waited, in milliseconds of the model's time.
-struct WaitFigures {
+/// How long the jobs of one class waited for their first start, in milliseconds
+/// of simulated time.
+struct WaitStatistics {
   std::size_t Count = 0;
   double P50 = 0;
   double P99 = 0;
   double Max = 0;
 };
 
-/// What one run measured.
-struct SiteFigures {
+/// The results of one run.
+struct SiteResults {
+  /// Started tasks.
   std::size_t Decisions = 0;
   double DecisionsPerSecond = 0;
   double P50Micros = 0;
   double P99Micros = 0;
-  /// Share of the processors in use, in percent, at the end of the run.
+  /// Share of the processors in use at the end of the run, in percent.
   double UsedPercent = 0;
-  WaitFigures Urgent;
-  WaitFigures Batch;
-  WaitFigures Gang;
+  WaitStatistics Urgent;
+  WaitStatistics Batch;
+  WaitStatistics Gang;
   std::size_t NeverStarted = 0;
 };
 
-/// Feeds a scheduler with the arrivals and ends of a site, from a fixed seed.
-/// Sizes follow the users' VMs: 16 cores and 32 GB, or 128 cores, 256 GB and 8
-/// accelerators. A fifth of the tasks are services that do not end; declared
-/// run times are off by up to four times.
+/// Simulates the arrivals and ends of jobs at a site, reproducibly from a seed,
+/// and passes them to a scheduler. VMs have the sizes of the users' VMs: 16
+/// cores and 32 GB, or 128 cores, 256 GB and 8 accelerators. A fifth of the
+/// load are services that do not end. Estimated run times are wrong by a factor
+/// of up to four.
 class SiteModel {
 public:
-  SiteModel(const SiteSize &Size, std::uint32_t Seed);
+  SiteModel(const SiteParameters &Parameters, std::uint32_t Seed);
 
-  /// Makes the scheduler's VMs and customers.
-  void prepare(Scheduler &Core);
-  /// Fills the site, then lets work come and go for \p Time.
-  SiteFigures run(Scheduler &Core, milliseconds Time);
-  /// Submits work until a task has to wait.
-  /// \returns the share of the scarcest resource in use then, in percent.
-  double fillUntilWait(Scheduler &Core);
+  /// Adds the site's VMs and customers to the scheduler.
+  void addVmsAndCustomers(Scheduler &TestedScheduler);
+  /// Starts the services, then simulates arriving and ending jobs for
+  /// \p Duration.
+  SiteResults run(Scheduler &TestedScheduler, milliseconds Duration);
+  /// Submits jobs until a task has to wait.
+  /// \returns the share of the scarcest resource that is in use then, in
+  /// percent.
+  double fillUntilFirstWait(Scheduler &TestedScheduler);
   ManualClock &clock() { return Clock_; }
 
 private:
-  struct End {
-    TimePoint At;
+  struct PlannedEnd {
+    TimePoint Time;
     TaskAttempt Task;
-    bool operator<(const End &Other) const { return At > Other.At; }
+    /// Reversed, so that the queue's top is the earliest end.
+    bool operator<(const PlannedEnd &Other) const { return Time > Other.Time; }
   };
   struct Arrival {
-    TimePoint At;
+    TimePoint Time;
     JobKind Kind;
     bool Urgent;
     bool Started = false;
   };
 
-  JobSpec makeJob(bool Service);
-  Capacity pickSize(bool Urgent);
-  void submit(Scheduler &Core, const JobSpec &Spec);
-  void decide(Scheduler &Core);
-  void endDue(Scheduler &Core);
-  double usedPercent() const;
-  /// \returns the share in use of what is scarcest, in percent.
-  static double scarcestPercent(const Scheduler &Core);
-  WaitFigures figures(std::vector<double> Waits) const;
+  JobSpec randomJob(bool Service);
+  Capacity randomTaskSize(bool Urgent);
+  void submit(Scheduler &TestedScheduler, const JobSpec &Spec);
+  /// Runs a scheduling pass, measures it and carries out its commands.
+  void runPass(Scheduler &TestedScheduler);
+  /// Ends the tasks whose run time has passed, with a pass after each.
+  void endDueTasks(Scheduler &TestedScheduler);
+  double usedProcessorPercent() const;
+  /// \returns the share of the scarcest resource that is in use, in percent.
+  static double scarcestResourcePercent(const Scheduler &TestedScheduler);
+  WaitStatistics waitStatistics(std::vector<double> Waits) const;
 
-  SiteSize Size_;
+  SiteParameters Parameters_;
   ManualClock Clock_;
   std::mt19937 Random_;
-  std::int64_t TotalCores_ = 0;
-  std::int64_t UsedCores_ = 0;
-  int NextJob_ = 0;
-  std::priority_queue<End> Ends_;
+  std::int64_t TotalMilliCores_ = 0;
+  std::int64_t UsedMilliCores_ = 0;
+  int NextJobNumber_ = 0;
+  std::priority_queue<PlannedEnd> PlannedEnds_;
   std::map<std::string, Arrival> Arrivals_;
   std::map<std::string, JobSpec> Specs_;
   std::map<std::string, milliseconds> RunTimes_;
   std::map<TaskRef, Capacity> Running_;
   std::vector<double> PassMicros_;
   std::size_t Decisions_ = 0;
-  double BusyMicros_ = 0;
+  double TotalPassMicros_ = 0;
   std::vector<double> UrgentWaits_;
   std::vector<double> BatchWaits_;
   std::vector<double> GangWaits_;
--- a/programs/cuminroadd/main.cpp
+++ b/programs/cuminroadd/main.cpp
@@ -1,4 +1,4 @@
-// The daemon of an entry VM.
+// The daemon that runs on an entry VM.
 
 #include <csignal>
 #include <cstdlib>
@@ -14,7 +14,7 @@
 #include "cuminroad/contract/Settings.h"
 #include "cuminroad/daemon/Daemon.h"
 
-#include "FleetMain.h"
+#include "FleetDaemonMain.h"
 
 using namespace cuminroad;
 
@@ -24,7 +24,7 @@
 constexpr int ExitFailed = 1;
 constexpr int ExitBadSettings = 2;
 
-/// \returns the file's text, or nothing where it can't be read.
+/// \returns the contents of the file, or nothing if it cannot be read.
 std::optional<std::string> readFile(const std::string &Path) {
   std::ifstream File(Path);
   if (!File)
@@ -34,43 +34,47 @@
   return Text.str();
 }
 
-int reportFaults(const std::string &Path, const std::vector<Error> &Faults) {
-  for (const Error &Fault : Faults)
-    fmt::print(stderr, "{}: {}\n", Path, Fault.text());
+int printSettingsErrors(const std::string &Path,
+                        const std::vector<Error> &Errors) {
+  for (const Error &SettingsError : Errors)
+    fmt::print(stderr, "{}: {}\n", Path, SettingsError.text());
   return ExitBadSettings;
 }
 
-void serve(const Settings &Config) {
-  // The signals are taken by one thread; all others inherit the block.
+void runDaemon(const Settings &Config) {
+  // Only the thread below waits for the signals; all threads started from now
+  // on inherit the blocked mask.
   sigset_t Signals;
   sigemptyset(&Signals);
   sigaddset(&Signals, SIGTERM);
   sigaddset(&Signals, SIGINT);
   pthread_sigmask(SIG_BLOCK, &Signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  const auto Process = makeDaemon(Config);
-  std::thread Waiter([&Signals, &Process] {
+  const auto RunningDaemon = makeDaemon(Config);
+  std::thread SignalThread([&Signals, &RunningDaemon] {
     int Signal = 0;
     sigwait(&Signals, &Signal);
-    Process->stop();
+    RunningDaemon->stop();
   });
-  Process->run();
-  // A daemon may end without a signal; the waiter must end all the same.
-  pthread_kill(Waiter.native_handle(), SIGTERM);
-  Waiter.join();
+  RunningDaemon->run();
+  // If the daemon ended without a signal, the thread is still blocked in
+  // sigwait().
+  pthread_kill(SignalThread.native_handle(), SIGTERM);
+  SignalThread.join();
 }
 
-/// Parses the settings, and runs \p Serve unless they are only to be checked.
-template <typename Parse, typename Serve>
-int checkAndServe(const std::string &Path, bool CheckOnly, Parse ParseText,
-                  Serve Run) {
+/// Reads and parses the settings file, then calls \p Run with the settings
+/// unless \p CheckOnly is set. \returns the exit code.
+template <typename Parser, typename Runner>
+int checkAndRun(const std::string &Path, bool CheckOnly, Parser ParseSettings,
+                Runner Run) {
   const auto Text = readFile(Path);
   if (!Text)
-    return reportFaults(
-        Path, {Error{ErrorCode::MissingField, "can't read the file " + Path}});
-  const auto Config = ParseText(*Text);
+    return printSettingsErrors(
+        Path, {Error{ErrorCode::MissingField, "cannot read the file " + Path}});
+  const auto Config = ParseSettings(*Text);
   if (!Config)
-    return reportFaults(Path, Config.error());
+    return printSettingsErrors(Path, Config.error());
   if (CheckOnly)
     fmt::print("{}: ok\n", Path);
   else
@@ -82,34 +86,36 @@
 
 int main(int Argc, char **Argv) {
   try {
-    TCLAP::CmdLine Line("cuminroadd: the daemon of an entry VM", ' ', "0.2");
+    TCLAP::CmdLine Line("cuminroadd: the daemon that runs on an entry VM", ' ',
+                        "0.2");
     TCLAP::SwitchArg CheckOnly("", "check-settings",
-                               "check the settings and end", Line);
-    TCLAP::SwitchArg OnPlatform(
+                               "check the settings file and exit", Line);
+    TCLAP::SwitchArg UsePlatform(
         "", "platform",
-        "run on the operator platform, with the settings file that it wrote",
+        "run on the operator platform, with the settings file that the "
+        "platform wrote",
         Line);
     TCLAP::UnlabeledValueArg<std::string> File(
         "settings",
-        "settings, in JSON with comments; with --platform, the file named by "
-        "CUMINROAD_CONFIG where none is given",
+        "settings file, in JSON with comments; with --platform it may be "
+        "omitted, and is then taken from CUMINROAD_CONFIG",
         false, "", "FILE", Line);
     Line.parse(Argc, Argv);
     std::string Path = File.getValue();
-    if (OnPlatform.getValue()) {
-      const char *Given = std::getenv(SettingsPathVariable);
-      if (Path.empty() && Given != nullptr)
-        Path = Given;
-      return checkAndServe(Path, CheckOnly.getValue(), parsePlatformSettings,
-                           serveFleet);
+    if (UsePlatform.getValue()) {
+      const char *SettingsPath = std::getenv(SettingsPathVariable);
+      if (Path.empty() && SettingsPath != nullptr)
+        Path = SettingsPath;
+      return checkAndRun(Path, CheckOnly.getValue(), parsePlatformSettings,
+                         runFleetDaemon);
     }
     if (Path.empty()) {
       fmt::print(stderr, "cuminroadd: a settings file is required\n");
       return ExitFailed;
     }
-    return checkAndServe(Path, CheckOnly.getValue(), parseSettings, serve);
-  } catch (const std::exception &Fault) {
-    fmt::print(stderr, "cuminroadd: {}\n", Fault.what());
+    return checkAndRun(Path, CheckOnly.getValue(), parseSettings, runDaemon);
+  } catch (const std::exception &Exception) {
+    fmt::print(stderr, "cuminroadd: {}\n", Exception.what());
     return ExitFailed;
   }
 }
--- a/tests/fakes/include/cuminroad/fakes/FakeRowStore.h
+++ b/tests/fakes/include/cuminroad/fakes/FakeRowStore.h
@@ -11,65 +11,78 @@
 
 namespace cuminroad {
 
-/// What becomes of a call.
-struct StoreFate {
-  enum Kind {
-    Answered,
-    /// Certainly nothing was done.
+/// How the fake store handles one call.
+struct StoreFault {
+  enum FaultKind {
+    None,
+    /// The store fails the call and changes nothing; the caller learns this.
     Refused,
-    /// Took effect; the answer is lost.
-    LostAfter,
-    /// Had no effect; the caller can't know.
-    LostBefore,
-    /// The caller gives up; it takes effect later, if its checks still hold.
-    Late,
+    /// The store commits the transaction, but the response is lost, so that the
+    /// caller cannot tell whether it was committed.
+    ResponseLost,
+    /// The request is lost: nothing is committed, but the caller cannot tell.
+    RequestLost,
+    /// The call times out for the caller. The transaction is applied after
+    /// Delay, if its checks still hold then.
+    Delayed,
   };
-  Kind What = Answered;
-  /// Of Late.
+  FaultKind Kind = None;
+  /// Used by Delayed only.
   milliseconds Delay{0};
 };
 
-/// The store's rows, shared by the clients of several daemons.
+/// The rows of the store. Several daemons' FakeRowStore objects share them.
 class FakeRows {
 public:
   using Key = std::tuple<std::string, std::string, std::string>;
 
-  RowCommit apply(const RowTransaction &Change);
+  /// Commits the transaction if all of its checks hold. \returns otherwise the
+  /// rows that were found for the checks.
+  RowCommit apply(const RowTransaction &Transaction);
   RowPage read(const RowRange &Range) const;
+  /// \returns the rows of a table that changed after version \p After, removed
+  /// ones included, by version.
   RowPage changesSince(const std::string &Table, std::int64_t After) const;
-  /// Drops the history of changes.
-  void compact() { CompactedTo = Version; }
+  /// Drops the change history up to now: a change feed that asks for older
+  /// changes fails with HistoryGone.
+  void compact() { CompactedVersion = Version; }
   const StoredRow *find(const RowName &Name) const;
 
   std::int64_t Version = 1;
-  std::int64_t CompactedTo = 0;
+  std::int64_t CompactedVersion = 0;
   std::map<Key, StoredRow> Rows;
 };
 
-/// One daemon's access to the store; fails as the test says.
+/// One daemon's client of the store. The test injects faults and sets the
+/// latency.
 class FakeRowStore final : public RowStore {
 public:
-  FakeRowStore(FakeRows &Rows, FakeLoop &Home) : Rows_(Rows), Home_(Home) {}
+  FakeRowStore(FakeRows &Rows, FakeLoop &ControlLoop)
+      : Rows_(Rows), ControlLoop_(ControlLoop) {}
 
-  void commit(RowTransaction Change, milliseconds Timeout,
+  void commit(RowTransaction Transaction, milliseconds Timeout,
               CommitDone Done) override;
   void read(RowRange Range, milliseconds Timeout, PageDone Done) override;
-  void changes(RowChanges Wanted, PageDone Done) override;
+  void changes(RowChanges Request, PageDone Done) override;
   milliseconds storeTime() const override;
   TimePoint lastContact() const override { return LastContact_; }
 
-  /// Decides the fate of each call; answers all where it is not set.
-  std::function<StoreFate()> Decide;
+  /// Returns the fault to inject into the next call; without it, all calls
+  /// succeed. Reads and change feeds fail on any fault.
+  std::function<StoreFault()> NextFault;
   milliseconds Latency{6};
-  int Commits = 0;
-  int Reads = 0;
+  int CommitCalls = 0;
+  int ReadCalls = 0;
 
 private:
-  StoreFate fate() const { return Decide ? Decide() : StoreFate{}; }
-  void poll(RowChanges Wanted, TimePoint Until, PageDone Done);
+  StoreFault injectedFault() const {
+    return NextFault ? NextFault() : StoreFault{};
+  }
+  /// Answers a change feed (long poll) with new changes, or at \p Deadline.
+  void poll(RowChanges Request, TimePoint Deadline, PageDone Done);
 
   FakeRows &Rows_;
-  FakeLoop &Home_;
+  FakeLoop &ControlLoop_;
   TimePoint LastContact_{};
 };
 
