--- a/benchmark/FirstComeFirstFit.h
+++ b/benchmark/FirstComeFirstFit.h
@@ -16,7 +16,7 @@
   void listVm(const VmSpec &Spec) override;
   void vmClaimed(std::string_view, std::span<const InventoryTask>) override {}
   void vmLeaving(std::string_view) override {}
-  void vmEmptied(std::string_view, bool) override {}
+  void vmTasksEnded(std::string_view, bool) override {}
   void setLimit(std::string_view, const ContractTerms &) override {}
   void removeLimit(std::string_view) override {}
   Result<void> checkFeasible(const JobSpec &, const Capacity &) const override {
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -187,7 +187,7 @@
     if (ListEntry.State == ListedState::Gone) {
       Context_.Events.record(EventId::VmGone, ListEntry.Spec.Id);
       Vm->Session->close();
-      Scheduler_->vmEmptied(ListEntry.Spec.Id, true);
+      Scheduler_->vmTasksEnded(ListEntry.Spec.Id, true);
       updateVmSlots(ListEntry.Spec.Id);
     }
   }
--- a/packages/daemon/src/DomainOwnerVmEvents.cpp
+++ b/packages/daemon/src/DomainOwnerVmEvents.cpp
@@ -98,7 +98,7 @@
   Vms_.at(Vm).Inventory.reset();
   updateVmSlots(Vm);
   if (JobsLoaded_)
-    Scheduler_->vmEmptied(Vm, false);
+    Scheduler_->vmTasksEnded(Vm, false);
   runScheduler();
 }
 
--- a/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
+++ b/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
@@ -25,7 +25,7 @@
 public:
   struct Answer {
     StepName Step;
-    std::vector<std::string> Asked;
+    std::vector<std::string> QueriedVms;
     std::vector<AdviceTicket> Allowed;
     /// When the answer arrived.
     TimePoint ReceivedAt{};
@@ -43,7 +43,7 @@
   void setPeers(const DaemonRows &Others);
   /// Determines from the queues whether any of them makes short decisions.
   void setQueues(std::span<const QueueRoute> Routes);
-  void requestAdvice(const RequestAdvice &Ask);
+  void requestAdvice(const RequestAdvice &Command);
   std::size_t waiting() const { return Queue_.size(); }
 
 private:
@@ -56,7 +56,7 @@
   };
   /// A queued request. Several daemons may be asked the same request at once.
   struct PendingRequest {
-    RequestAdvice Ask;
+    RequestAdvice Command;
     int Attempts = 0;
     int OpenCalls = 0;
     bool Answered = false;
--- a/packages/fleet/include/cuminroad/fleet/PoolOwner.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolOwner.h
@@ -85,7 +85,7 @@
   void execute(const ThrottleRun &Command);
   void execute(const RequestAdvice &Command);
   void recordChanges();
-  void logNotes();
+  void logDiagnostics();
   void reportLoad();
   void runPeriodicWork();
   void removeExpiredJobs();
--- a/packages/fleet/include/cuminroad/fleet/VmCalls.h
+++ b/packages/fleet/include/cuminroad/fleet/VmCalls.h
@@ -97,8 +97,8 @@
                      milliseconds Timeout, OrderDone Done) = 0;
   virtual void stop(const VmTarget &Vm, const TaskRun &Run,
                     milliseconds Timeout, OrderDone Done) = 0;
-  virtual void pace(const VmTarget &Vm, const TaskRun &Run, int Percent,
-                    milliseconds Timeout, OrderDone Done) = 0;
+  virtual void throttle(const VmTarget &Vm, const TaskRun &Run, int Percent,
+                        milliseconds Timeout, OrderDone Done) = 0;
   virtual void hold(const VmTarget &Vm, const HoldOrder &Order,
                     milliseconds Timeout, HoldDone Done) = 0;
 };
--- a/packages/fleet/include/cuminroad/fleet/VmLink.h
+++ b/packages/fleet/include/cuminroad/fleet/VmLink.h
@@ -80,7 +80,7 @@
   void startRun(const StartRun &Command, const std::string &Spec);
   /// \returns whether a stop is sent; false if one is already pending.
   bool stopRun(const TaskRun &Run);
-  void paceRun(const TaskRun &Run, int Percent);
+  void throttleRun(const TaskRun &Run, int Percent);
   /// Tells the VM that its ends up to \p Number are durable.
   void acknowledge(std::int64_t Incarnation, std::int64_t Number);
 
--- a/packages/fleet/src/AdviceDispatcher.cpp
+++ b/packages/fleet/src/AdviceDispatcher.cpp
@@ -69,9 +69,9 @@
       });
 }
 
-void AdviceDispatcher::requestAdvice(const RequestAdvice &Ask) {
+void AdviceDispatcher::requestAdvice(const RequestAdvice &Command) {
   auto Request = std::make_shared<PendingRequest>();
-  Request->Ask = Ask;
+  Request->Command = Command;
   Queue_.push_back(std::move(Request));
   dispatch();
 }
@@ -128,20 +128,20 @@
       [](const PendingRequestPtr &Left, const PendingRequestPtr &Right) {
         // Renewals go first: capacity is kept free for steps whose tickets are
         // renewed.
-        return std::tuple(Left->Ask.Priority, !Left->Ask.Renewal) <
-               std::tuple(Right->Ask.Priority, !Right->Ask.Renewal);
+        return std::tuple(Left->Command.Priority, !Left->Command.Renewal) <
+               std::tuple(Right->Command.Priority, !Right->Command.Renewal);
       });
   std::vector<PendingRequestPtr> Waiting;
   std::vector<StepName> Obsolete;
   for (const PendingRequestPtr &Request : std::exchange(Queue_, {})) {
     if (Request->Answered)
       continue;
-    if (Request->OpenCalls == 0 && !StillNeeded_(Request->Ask.Step)) {
-      Obsolete.push_back(Request->Ask.Step);
+    if (Request->OpenCalls == 0 && !StillNeeded_(Request->Command.Step)) {
+      Obsolete.push_back(Request->Command.Step);
       continue;
     }
     const std::vector<std::string> Idle =
-        idleDaemons(Request->Ask.ExpectedLatencyMs <= MaxShortDecisionMs);
+        idleDaemons(Request->Command.ExpectedLatencyMs <= MaxShortDecisionMs);
     // A failed daemon is probed with a request that is also sent to another one
     // or stays queued.
     const std::string FailedDaemon = failedDaemonToProbe();
@@ -173,8 +173,9 @@
   // Probes of a failed daemon do not count as attempts.
   Request->Attempts += Target.Backoff.count() == 0;
   ++Request->OpenCalls;
-  const RequestAdvice &Ask = Request->Ask;
-  const milliseconds Expected(static_cast<std::int64_t>(Ask.ExpectedLatencyMs));
+  const RequestAdvice &Command = Request->Command;
+  const milliseconds Expected(
+      static_cast<std::int64_t>(Command.ExpectedLatencyMs));
   auto Done = [Self = shared_from_this(), Name,
                Request](Result<std::vector<AdviceTicket>> Allowed) {
     if (!Self->Closed_)
@@ -184,10 +185,10 @@
       Expected + HedgeDelay,
       [Self = shared_from_this(), Request] { Self->hedge(Request); });
   if (Name == SelfName_)
-    LocalAdvisor_.advise(Ask.Step, Ask.Vms, Expected + CallOverhead,
+    LocalAdvisor_.advise(Command.Step, Command.Vms, Expected + CallOverhead,
                          std::move(Done));
   else
-    Peers_.advise(Target.Daemon.PeerAddress, Ask.Step, Ask.Vms,
+    Peers_.advise(Target.Daemon.PeerAddress, Command.Step, Command.Vms,
                   Expected + CallOverhead, std::move(Done));
 }
 
@@ -222,17 +223,17 @@
 void AdviceDispatcher::completeOrRetry(
     const PendingRequestPtr &Request,
     Result<std::vector<AdviceTicket>> Allowed) {
-  const RequestAdvice &Ask = Request->Ask;
+  const RequestAdvice &Command = Request->Command;
   if (!Allowed && Request->Attempts < MaxAttempts) {
     enqueue(Request);
     return;
   }
   Request->Answered = true;
   if (Allowed)
-    Done_(Ask.Step, Answer{Ask.Step, Ask.Vms, std::move(*Allowed),
-                           MonotonicClock_.now()});
+    Done_(Command.Step, Answer{Command.Step, Command.Vms, std::move(*Allowed),
+                               MonotonicClock_.now()});
   else
-    Done_(Ask.Step, tl::unexpected(Allowed.error()));
+    Done_(Command.Step, tl::unexpected(Allowed.error()));
 }
 
 } // namespace cuminroad
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -102,16 +102,16 @@
                            Answer.error().text());
     return Scheduler_->adviceFailed(Step);
   }
-  if (!Answer->Asked.empty())
+  if (!Answer->QueriedVms.empty())
     Context_.Events.record(
         EventId::AdviceCame, Step.Job,
         fmt::format("{}.{} allowed {} of {}", Step.Occurrence, Step.Step,
-                    Answer->Allowed.size(), Answer->Asked.size()));
+                    Answer->Allowed.size(), Answer->QueriedVms.size()));
   const QueueTerms *Terms = Scheduler_->terms(Step.Job);
   const milliseconds ValidFor = Terms != nullptr && Terms->Advice
                                     ? Terms->Advice->ValidFor
                                     : milliseconds(0);
-  Scheduler_->adviceReceived(Step, Answer->Asked, Answer->Allowed,
+  Scheduler_->adviceReceived(Step, Answer->QueriedVms, Answer->Allowed,
                              Answer->ReceivedAt + ValidFor);
   schedulePass();
 }
@@ -318,7 +318,7 @@
     Scheduler_->schedule();
   for (const PoolCommand &Next : Scheduler_->takeCommands())
     std::visit([this](const auto &Command) { execute(Command); }, Next);
-  logNotes();
+  logDiagnostics();
   recordChanges();
   LastPassDuration_ = std::chrono::duration_cast<milliseconds>(
       Context_.MonotonicClock.now() - LastPassAt_);
@@ -340,22 +340,22 @@
       EventId::RunPaced, formatRun(Command.Run),
       fmt::format("{} percent {}", Command.Vm, Command.SpeedPercent));
   if (VmLink *Link = findLink(Command.Vm))
-    Link->paceRun(Command.Run, Command.SpeedPercent);
+    Link->throttleRun(Command.Run, Command.SpeedPercent);
 }
 
 void PoolOwner::execute(const RequestAdvice &Command) {
   AdviceDispatcher_->requestAdvice(Command);
 }
 
-void PoolOwner::logNotes() {
-  const PoolDiagnostics Notes = Scheduler_->takeDiagnostics();
-  for (const LostRun &Loss : Notes.LostRuns)
+void PoolOwner::logDiagnostics() {
+  const PoolDiagnostics Diagnostics = Scheduler_->takeDiagnostics();
+  for (const LostRun &Loss : Diagnostics.LostRuns)
     Context_.Events.record(EventId::RunLost, formatRun(Loss.Run),
                            fmt::format("{} {}", Loss.Vm, Loss.Reason));
-  for (const VmQuarantine &Each : Notes.Quarantines)
+  for (const VmQuarantine &Each : Diagnostics.Quarantines)
     Context_.Events.record(EventId::VmQuarantined, Each.Vm,
                            fmt::format("for_ms {}", Each.Duration.count()));
-  for (const BlockedStep &Each : Notes.BlockedSteps)
+  for (const BlockedStep &Each : Diagnostics.BlockedSteps)
     Context_.Events.record(
         EventId::StepBlocked, Each.Step.Job,
         fmt::format(
--- a/packages/fleet/src/PoolOwnerVms.cpp
+++ b/packages/fleet/src/PoolOwnerVms.cpp
@@ -111,7 +111,7 @@
 
 void PoolOwner::onLeaseExpired(VmLink &Link) {
   Context_.Events.record(EventId::VmLeaseLapsed, Link.vm(), Term_.Service);
-  Scheduler_->vmEmptied(Link.vm());
+  Scheduler_->vmTasksEnded(Link.vm());
   schedulePass();
 }
 
--- a/packages/fleet/src/VmLink.cpp
+++ b/packages/fleet/src/VmLink.cpp
@@ -362,13 +362,13 @@
               });
 }
 
-void VmLink::paceRun(const TaskRun &Run, int Percent) {
-  Calls_.pace(target(), Run, Percent, OrderTimeout,
-              [Self = shared_from_this()](const Result<OrderAnswer> &Answer) {
-                if (!Self->Closed_ && Answer &&
-                    Answer->Outcome == OrderOutcome::Fenced)
-                  Self->Listener_.onFenced(*Self);
-              });
+void VmLink::throttleRun(const TaskRun &Run, int Percent) {
+  Calls_.throttle(
+      target(), Run, Percent, OrderTimeout,
+      [Self = shared_from_this()](const Result<OrderAnswer> &Answer) {
+        if (!Self->Closed_ && Answer && Answer->Outcome == OrderOutcome::Fenced)
+          Self->Listener_.onFenced(*Self);
+      });
 }
 
 } // namespace cuminroad
--- a/packages/fleet/tests/AdviceDispatcherTest.cpp
+++ b/packages/fleet/tests/AdviceDispatcherTest.cpp
@@ -44,7 +44,7 @@
             AnswerReceivedAt = ControlLoop.Time.now();
           else
             Dispatcher->requestAdvice(adviceRequest(Step));
-          LastAsked = Answer ? Answer->Asked.size() : 0;
+          QueriedVmCount = Answer ? Answer->QueriedVms.size() : 0;
         });
   }
   ~Fixture() { Dispatcher->close(); }
@@ -60,7 +60,7 @@
   std::shared_ptr<AdviceDispatcher> Dispatcher;
   bool Needed = true;
   std::optional<TimePoint> AnswerReceivedAt;
-  std::size_t LastAsked = 0;
+  std::size_t QueriedVmCount = 0;
 };
 
 const StepName Step{"j", 0, 0};
@@ -93,7 +93,7 @@
   Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
   ControlLoop.runFor(milliseconds(1000));
   BOOST_CHECK(AnswerReceivedAt);
-  BOOST_CHECK_EQUAL(LastAsked, 0);
+  BOOST_CHECK_EQUAL(QueriedVmCount, 0);
   BOOST_CHECK_EQUAL(Advisor.Calls, 0);
 }
 
@@ -103,5 +103,5 @@
   Dispatcher->requestAdvice(Fixture::adviceRequest(Step));
   ControlLoop.runFor(milliseconds(1000));
   BOOST_REQUIRE(AnswerReceivedAt);
-  BOOST_CHECK_EQUAL(LastAsked, 2);
+  BOOST_CHECK_EQUAL(QueriedVmCount, 2);
 }
--- a/packages/fleet/tests/VmLinkTest.cpp
+++ b/packages/fleet/tests/VmLinkTest.cpp
@@ -111,7 +111,7 @@
   // The VM ended the run itself, before the link reported the lease as expired.
   const RunEvent &End = Vms.History.back();
   BOOST_REQUIRE(!End.Start);
-  BOOST_CHECK(End.How == RunOutcome::LeaseLapsed);
+  BOOST_CHECK(End.How == RunOutcome::LeaseExpired);
   BOOST_CHECK(End.At <= *LeaseExpiredAt);
 }
 
--- a/packages/pool/include/cuminroad/pool/PoolVm.h
+++ b/packages/pool/include/cuminroad/pool/PoolVm.h
@@ -44,7 +44,7 @@
   Failed,
   Stopped,
   /// The VM's lease was not renewed in time.
-  LeaseLapsed,
+  LeaseExpired,
   /// Another member of the task's gang has ended.
   GangBroken,
   /// The other members of the task's gang did not start.
--- a/packages/pool/src/PoolSchedulerRuns.cpp
+++ b/packages/pool/src/PoolSchedulerRuns.cpp
@@ -102,9 +102,9 @@
   case RunOutcome::Stopped:
   case RunOutcome::GangBroken:
     return Tables_.release(Task);
-  case RunOutcome::LeaseLapsed:
+  case RunOutcome::LeaseExpired:
   case RunOutcome::GangIncomplete:
-    return loseRun(Task, End.Outcome == RunOutcome::LeaseLapsed
+    return loseRun(Task, End.Outcome == RunOutcome::LeaseExpired
                              ? "lapsed"
                              : "gang_incomplete");
   }
--- a/packages/pool/src/PoolSchedulerVms.cpp
+++ b/packages/pool/src/PoolSchedulerVms.cpp
@@ -186,7 +186,7 @@
     Vm->LeaseHeld = false;
 }
 
-void PoolSchedulerImpl::vmEmptied(std::string_view Id) {
+void PoolSchedulerImpl::vmTasksEnded(std::string_view Id) {
   if (VmRecord *Vm = Tables_.vm(Id))
     clearVm(*Vm, "lease_lapsed");
 }
--- a/packages/pool/tests/GangRunsTest.cpp
+++ b/packages/pool/tests/GangRunsTest.cpp
@@ -40,8 +40,8 @@
 
 BOOST_FIXTURE_TEST_CASE(completionOfAnAbandonedGangRunCounts, GangFixture) {
   const auto First = startGang();
-  Scheduler->vmEmptied("a");
-  Scheduler->vmEmptied("b");
+  Scheduler->vmTasksEnded("a");
+  Scheduler->vmTasksEnded("b");
   reportRuns("a", {});
   reportRuns("b", {});
   startGang();
--- a/packages/pool/tests/RunsTest.cpp
+++ b/packages/pool/tests/RunsTest.cpp
@@ -49,7 +49,7 @@
   for (int Round = 0; Round < 5; ++Round) {
     runPass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 1);
-    endRun(Starts[0], RunOutcome::LeaseLapsed);
+    endRun(Starts[0], RunOutcome::LeaseExpired);
   }
   BOOST_CHECK(Scheduler->stage("j") == JobStage::Running);
 }
@@ -200,7 +200,7 @@
   runPass();
   BOOST_CHECK(Starts.empty());
   BOOST_CHECK_EQUAL(Scheduler->occupiedVms().size(), 1);
-  Scheduler->vmEmptied("a");
+  Scheduler->vmTasksEnded("a");
   runPass();
   BOOST_REQUIRE_EQUAL(Starts.size(), 1);
   BOOST_CHECK_EQUAL(Starts[0].Vm, "b");
@@ -247,7 +247,7 @@
   Scheduler->addJob(makeJob("j", {Step}), makeQueue(), MonotonicClock.now());
   for (const RunOutcome Outcome :
        {RunOutcome::Failed, RunOutcome::Failed, RunOutcome::Failed,
-        RunOutcome::LeaseLapsed, RunOutcome::Done}) {
+        RunOutcome::LeaseExpired, RunOutcome::Done}) {
     MonotonicClock.advance(milliseconds(60000));
     runPass();
     BOOST_REQUIRE_EQUAL(Starts.size(), 1);
@@ -367,7 +367,7 @@
   runPass();
   const StartRun First = Starts.at(0);
   acceptStart(First);
-  Scheduler->vmEmptied("a");
+  Scheduler->vmTasksEnded("a");
   addVm(makeVm("b", SmallSize));
   runPass();
   const StartRun Again = Starts.at(0);
--- a/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
+++ b/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
@@ -60,7 +60,7 @@
   /// Reports that certainly no task runs on the VM any more: either it is
   /// \p Permanently gone, or the leases of all its tasks have lapsed and it
   /// must be claimed again before it is used.
-  virtual void vmEmptied(std::string_view Vm, bool Permanently) = 0;
+  virtual void vmTasksEnded(std::string_view Vm, bool Permanently) = 0;
 
   /// Sets the customer's limit in this failure domain; running tasks continue.
   virtual void setLimit(std::string_view Customer,
--- a/packages/scheduling/src/PackingScheduler.cpp
+++ b/packages/scheduling/src/PackingScheduler.cpp
@@ -154,7 +154,7 @@
   }
 }
 
-void PackingScheduler::vmEmptied(std::string_view Id, bool Permanently) {
+void PackingScheduler::vmTasksEnded(std::string_view Id, bool Permanently) {
   const int Index = vmIndex(Id);
   if (Index < 0)
     return;
--- a/packages/scheduling/src/PackingScheduler.h
+++ b/packages/scheduling/src/PackingScheduler.h
@@ -29,7 +29,7 @@
   void vmClaimed(std::string_view Vm,
                  std::span<const InventoryTask> Inventory) override;
   void vmLeaving(std::string_view Vm) override;
-  void vmEmptied(std::string_view Vm, bool Permanently) override;
+  void vmTasksEnded(std::string_view Vm, bool Permanently) override;
   void setLimit(std::string_view Customer, const ContractTerms &Terms) override;
   void removeLimit(std::string_view Customer) override;
   Result<void> checkFeasible(const JobSpec &Spec,
--- a/packages/scheduling/tests/PolicyTest.cpp
+++ b/packages/scheduling/tests/PolicyTest.cpp
@@ -252,7 +252,7 @@
       false,  false};
   Fixture.TestedScheduler->submit(NonRestartableJob);
   Fixture.run();
-  Fixture.TestedScheduler->vmEmptied(Fixture.Running.begin()->second, true);
+  Fixture.TestedScheduler->vmTasksEnded(Fixture.Running.begin()->second, true);
   Fixture.run();
   BOOST_CHECK_EQUAL(Fixture.Running.size(), 1);
   BOOST_CHECK(Fixture.Ended.at("once") == JobOutcome::Unknown);
@@ -267,7 +267,7 @@
                  milliseconds(1000));
   const TaskAttempt First = Fixture.Running.begin()->first;
   Fixture.Running.clear();
-  Fixture.TestedScheduler->vmEmptied("vm0", false);
+  Fixture.TestedScheduler->vmTasksEnded("vm0", false);
   Fixture.run();
   Fixture.TestedScheduler->taskEnded(First, false, false);
   Fixture.TestedScheduler->vmClaimed("vm0", {});
@@ -286,7 +286,7 @@
   const TaskAttempt First = Fixture.Running.begin()->first;
   const std::string Vm = Fixture.Running.begin()->second;
   Fixture.Running.clear();
-  Fixture.TestedScheduler->vmEmptied(Vm, false);
+  Fixture.TestedScheduler->vmTasksEnded(Vm, false);
   Fixture.run();
   BOOST_REQUIRE_EQUAL(Fixture.Running.size(), 1);
   Fixture.TestedScheduler->taskEnded(First, false, false);
--- a/packages/scheduling/tests/ReferenceModel.cpp
+++ b/packages/scheduling/tests/ReferenceModel.cpp
@@ -236,7 +236,7 @@
   Target.Gone = Permanently;
   Target.Claimed = false;
   Target.InventoryUnknown = false;
-  Scheduler_->vmEmptied(Target.Spec.Id, Permanently);
+  Scheduler_->vmTasksEnded(Target.Spec.Id, Permanently);
 }
 
 void ReferenceModel::answerStarts(ModelVm &Target, bool Refuse) {
--- a/tests/fakes/src/FakeVms.cpp
+++ b/tests/fakes/src/FakeVms.cpp
@@ -27,7 +27,7 @@
   VmState &Vm = Vms_[Id];
   for (const auto &[Run, EndsAt] : Vm.Running)
     History.push_back(
-        RunEvent{Home_.Time.now(), Id, Run, false, RunOutcome::LeaseLapsed});
+        RunEvent{Home_.Time.now(), Id, Run, false, RunOutcome::LeaseExpired});
   Vm = VmState{};
   Vm.Born = Born;
 }
@@ -70,7 +70,7 @@
     return;
   const auto Running = Vm.Running;
   for (const auto &[Run, EndsAt] : Running)
-    end(Id, Run, RunOutcome::LeaseLapsed);
+    end(Id, Run, RunOutcome::LeaseExpired);
   Vm.EndedAt.clear();
 }
 
@@ -183,8 +183,8 @@
       std::move(Done));
 }
 
-void FakeVmCalls::pace(const VmTarget &, const TaskRun &, int, milliseconds,
-                       OrderDone Done) {
+void FakeVmCalls::throttle(const VmTarget &, const TaskRun &, int, milliseconds,
+                           OrderDone Done) {
   Home_.after(Latency, [Done] { Done(OrderAnswer{}); });
 }
 
