--- a/packages/daemon/include/cuminroad/daemon/DomainOwner.h
+++ b/packages/daemon/include/cuminroad/daemon/DomainOwner.h
@@ -48,7 +48,7 @@
   /// while the table was unreachable; such an owner accepts no new jobs.
   std::int64_t EpochVersion = 0;
   /// Whether tasks and grants of an earlier owner may still be in effect.
-  bool HasPredecessor = false;
+  bool Inherited = false;
 };
 
 /// Schedules one failure domain for one term of ownership: claims the domain's
@@ -143,12 +143,12 @@
   /// Requests in flight on the VMs that were sent by daemons which have not yet
   /// reported their grants to this owner. Collected from all VMs in one round.
   struct UntrackedRequests {
-    std::size_t PendingReplies = 0;
-    bool AllVmsReplied = true;
+    std::size_t PendingResponses = 0;
+    bool AllVmsResponded = true;
     CountByName CountByVm;
     CountByName CountByCustomer;
   };
-  void settleGrantsEarly();
+  void tryFinishRecoveryEarly();
   void countUntrackedRequests(const std::string &Vm,
                               const std::vector<InFlightRequest> &Requests,
                               UntrackedRequests &Totals) const;
--- a/packages/daemon/include/cuminroad/daemon/HttpReplies.h
+++ b/packages/daemon/include/cuminroad/daemon/HttpResponses.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_DAEMON_HTTPREPLIES_H
-#define CUMINROAD_DAEMON_HTTPREPLIES_H
+#ifndef CUMINROAD_DAEMON_HTTPRESPONSES_H
+#define CUMINROAD_DAEMON_HTTPRESPONSES_H
 
 #include <string_view>
 
@@ -24,13 +24,13 @@
 std::string_view outcomeName(Outcome RequestOutcome);
 
 /// \returns a response with a JSON body.
-HttpResponse jsonReply(int Status, const nlohmann::json &Body);
+HttpResponse jsonResponse(int Status, const nlohmann::json &Body);
 /// \returns the response for an error: the status that fits its code, and a
 /// body with its number, name, message and detail.
-HttpResponse errorReply(const Error &Failure);
+HttpResponse errorResponse(const Error &Failure);
 /// \returns the response for a request that got no response from a backend
 /// server or an owner. X-Outcome and the body show the outcome.
-HttpResponse outcomeReply(Outcome RequestOutcome, const Error &Cause);
+HttpResponse outcomeResponse(Outcome RequestOutcome, const Error &Cause);
 
 } // namespace cuminroad
 
--- a/packages/daemon/include/cuminroad/daemon/RequestFrontend.h
+++ b/packages/daemon/include/cuminroad/daemon/RequestFrontend.h
@@ -14,7 +14,7 @@
 #include "cuminroad/contract/Settings.h"
 #include "cuminroad/daemon/AdmissionController.h"
 #include "cuminroad/daemon/ContractRegistry.h"
-#include "cuminroad/daemon/HttpReplies.h"
+#include "cuminroad/daemon/HttpResponses.h"
 #include "cuminroad/daemon/IdempotencyCache.h"
 #include "cuminroad/daemon/IdempotencyKeyStore.h"
 #include "cuminroad/daemon/Identity.h"
--- a/packages/daemon/include/cuminroad/daemon/VmSession.h
+++ b/packages/daemon/include/cuminroad/daemon/VmSession.h
@@ -108,18 +108,19 @@
 
 private:
   void sendClaim();
-  void handleClaimReply(const HttpResult &Reply);
+  void handleClaimResponse(const HttpResult &Response);
   void sendRenewal();
-  void handleRenewalReply(std::int64_t FencingToken, const HttpResult &Reply);
+  void handleRenewalResponse(std::int64_t FencingToken,
+                             const HttpResult &Response);
   void handleLeaseCallFailure();
   void awaitLeaseLapse();
   void scheduleCommandBatch();
   void sendStarts();
-  void handleStartsReply(std::int64_t FencingToken,
-                         std::vector<StartTask> SentStarts,
-                         const HttpResult &Reply);
+  void handleStartsResponse(std::int64_t FencingToken,
+                            std::vector<StartTask> SentStarts,
+                            const HttpResult &Response);
   void sendStops();
-  void handleStaleFencingToken(const HttpResult &Reply);
+  void handleStaleFencingToken(const HttpResult &Response);
   void reportEndedTasks(const nlohmann::json &EndedItems);
   void postToVm(const std::string &Path, const nlohmann::json &Body,
                 milliseconds Timeout, std::function<void(HttpResult)> Done);
@@ -143,7 +144,7 @@
   /// When the last claim or renewal that may have reached the VM was sent.
   TimePoint LastRenewalSentAt_{};
   /// When the last successful reply to a claim or renewal arrived.
-  TimePoint LastReplyAt_{};
+  TimePoint LastResponseAt_{};
   std::vector<StartTask> PendingStarts_;
   std::vector<StopTask> PendingStops_;
   /// Stops that were sent for tasks whose end is not yet reported.
--- a/packages/daemon/src/AdmissionController.cpp
+++ b/packages/daemon/src/AdmissionController.cpp
@@ -211,16 +211,16 @@
   for (const auto &[Key, Request] : Waiting_) {
     if (std::get<TimePoint>(Key) > Now)
       continue;
-    ErrorCode Why = ErrorCode::NoCapacity;
+    ErrorCode Reason = ErrorCode::NoCapacity;
     const auto Customer = Customers_.find(Request.Customer);
     if (!isLeaseValid())
-      Why = ErrorCode::NoOwner;
+      Reason = ErrorCode::NoOwner;
     else if (Customer == Customers_.end() ||
              Customer->second.InFlight >= Customer->second.Cap)
-      Why = ErrorCode::CustomerLimitReached;
-    Expired.emplace_back(Request.Id, Why);
+      Reason = ErrorCode::CustomerLimitReached;
+    Expired.emplace_back(Request.Id, Reason);
   }
-  for (const auto &[Id, Why] : Expired)
+  for (const auto &[Id, Reason] : Expired)
     dequeue(Id);
   return Expired;
 }
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -94,10 +94,10 @@
 void Api::handle(HttpRequest Request, HttpResponder Respond) {
   const PathSegments Segments = splitPath(Request.Path);
   if (Request.Path == "/healthz")
-    return Respond(jsonReply(200, {{"healthy", true}}));
+    return Respond(jsonResponse(200, {{"healthy", true}}));
   if (Request.Path == "/readyz") {
     const bool Ready = IsReady();
-    return Respond(jsonReply(Ready ? 200 : 503, {{"ready", Ready}}));
+    return Respond(jsonResponse(Ready ? 200 : 503, {{"ready", Ready}}));
   }
   const bool IsPost = Request.Method == "POST";
   if (IsPost && Segments.size() == 6 && Segments[0] == "v1" &&
@@ -105,7 +105,7 @@
       Segments[5] == "requests") {
     if (!Components_.SharedConfig.ready())
       return Respond(
-          outcomeReply(Outcome::NotRun, Error{ErrorCode::NotReady, {}}));
+          outcomeResponse(Outcome::NotRun, Error{ErrorCode::NotReady, {}}));
     return Frontend_.handleRequest(Segments[2], Segments[4], std::move(Request),
                                    std::move(Respond));
   }
@@ -139,10 +139,10 @@
       !(Segments.size() == 2 && Request.Method == "GET"))
     return handleJobs(Segments, Request, Respond);
   if (!IsApiPath)
-    return Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
+    return Respond(errorResponse(Error{ErrorCode::UnknownPath, Request.Path}));
   // The remaining paths are for operators only.
   if (!authorized(Request))
-    return Respond(errorReply(Error{ErrorCode::Unauthorized, {}}));
+    return Respond(errorResponse(Error{ErrorCode::Unauthorized, {}}));
   if (Segments[1] == "contracts")
     return handleContracts(Segments, Request, Respond);
   if (Request.Method == "GET" && Segments.size() == 2) {
@@ -154,7 +154,7 @@
   if (Request.Method == "POST" && Segments.size() == 4 &&
       Segments[1] == "vms" && Segments[3] == "drain")
     return drainVm(Segments[2], Request, Respond);
-  Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
+  Respond(errorResponse(Error{ErrorCode::UnknownPath, Request.Path}));
 }
 
 void Api::handleJobs(const PathSegments &Segments, const HttpRequest &Request,
@@ -165,18 +165,18 @@
     return showJob(Segments[2], Request, Respond);
   if (Segments.size() == 3 && Request.Method == "DELETE")
     return cancelJob(Segments[2], Request, Respond);
-  Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
+  Respond(errorResponse(Error{ErrorCode::UnknownPath, Request.Path}));
 }
 
 void Api::submitJob(const HttpRequest &Request, const HttpResponder &Respond) {
   const auto Body = parseJson(Request.Body, false);
   if (!Body)
-    return Respond(errorReply(Body.error()));
+    return Respond(errorResponse(Body.error()));
   const auto Spec = parseJobSpec(*Body);
   if (!Spec)
-    return Respond(errorReply(Spec.error()));
+    return Respond(errorResponse(Spec.error()));
   if (!Components_.Contracts.find(Spec->Customer))
-    return Respond(outcomeReply(
+    return Respond(outcomeResponse(
         Outcome::NotRun, Error{ErrorCode::UnknownCustomer, Spec->Customer}));
   if (!findHeader(Request.Headers, "X-Forwarded-By").empty())
     return submitToLocalOwner(Request, Respond);
@@ -220,18 +220,18 @@
   const auto Body = parseJson(Request.Body, false);
   const auto Spec = parseJobSpec(*Body);
   if (!Components_.LocalOwner)
-    return Respond(outcomeReply(
+    return Respond(outcomeResponse(
         Outcome::NotRun, Error{ErrorCode::NoOwner, Components_.Config.Domain}));
   Components_.LocalOwner->submit(*Spec, [Respond](Result<std::string> Id) {
     if (Id) {
-      HttpResponse Response = jsonReply(202, {{"id", *Id}});
+      HttpResponse Response = jsonResponse(202, {{"id", *Id}});
       Response.Headers.emplace_back("X-Outcome", outcomeName(Outcome::Done));
       return Respond(std::move(Response));
     }
     const Outcome SubmitOutcome =
         Id.error().Code == ErrorCode::WriteOutcomeUnknown ? Outcome::Unknown
                                                           : Outcome::NotRun;
-    Respond(outcomeReply(SubmitOutcome, Id.error()));
+    Respond(outcomeResponse(SubmitOutcome, Id.error()));
   });
 }
 
@@ -241,7 +241,7 @@
       domainOfJob(Id) == Components_.Config.Domain && Components_.LocalOwner;
   if (IsLocalJob) {
     if (const auto View = Components_.LocalOwner->job(Id))
-      return Respond(jsonReply(200, jobJson(*View)));
+      return Respond(jsonResponse(200, jobJson(*View)));
     return readFinishedJob(Id, Respond);
   }
   if (!findHeader(Request.Headers, "X-Forwarded-By").empty())
@@ -259,18 +259,18 @@
   Components_.RetryingTable.read(
       "done/" + Id, [Id, Respond](Result<TableRow> Row) {
         if (!Row)
-          return Respond(errorReply(Row.error()));
+          return Respond(errorResponse(Row.error()));
         const auto Job = parseJobRow(Row->Value);
         if (Row->Version == 0 || !Job)
-          return Respond(errorReply(Error{ErrorCode::UnknownJob, Id}));
+          return Respond(errorResponse(Error{ErrorCode::UnknownJob, Id}));
         const auto Failed =
             std::count_if(Job->Ended.begin(), Job->Ended.end(),
                           [](const auto &Entry) { return Entry.second; });
-        Respond(jsonReply(200, {{"job", toJson(Job->Spec)},
-                                {"state", "finished"},
-                                {"outcome", jobOutcomeName(*Job->Outcome)},
-                                {"ended", Job->Ended.size()},
-                                {"failed", Failed}}));
+        Respond(jsonResponse(200, {{"job", toJson(Job->Spec)},
+                                   {"state", "finished"},
+                                   {"outcome", jobOutcomeName(*Job->Outcome)},
+                                   {"ended", Job->Ended.size()},
+                                   {"failed", Failed}}));
       });
 }
 
@@ -280,9 +280,9 @@
     return forwardToOwner(domainOfJob(Id), Request, Respond);
   Components_.LocalOwner->cancel(Id, [Id, Respond](Result<void> Done) {
     if (Done)
-      Respond(jsonReply(202, {{"id", Id}, {"state", "cancelling"}}));
+      Respond(jsonResponse(202, {{"id", Id}, {"state", "cancelling"}}));
     else
-      Respond(errorReply(Done.error()));
+      Respond(errorResponse(Done.error()));
   });
 }
 
@@ -292,24 +292,25 @@
   if (Segments.size() == 2 && Request.Method == "GET")
     return listContracts(Respond);
   if (Segments.size() != 3)
-    return Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
+    return Respond(errorResponse(Error{ErrorCode::UnknownPath, Request.Path}));
   if (Request.Method == "PUT" || Request.Method == "DELETE")
     return changeContract(Segments[2], Request, Respond);
   const auto Found = Components_.SharedConfig.contracts().find(Segments[2]);
   if (Request.Method != "GET")
-    return Respond(errorReply(Error{ErrorCode::UnknownPath, Request.Path}));
+    return Respond(errorResponse(Error{ErrorCode::UnknownPath, Request.Path}));
   if (Found == Components_.SharedConfig.contracts().end())
-    return Respond(errorReply(Error{ErrorCode::UnknownCustomer, Segments[2]}));
-  Respond(jsonReply(200, contractJson(Found->second)));
+    return Respond(
+        errorResponse(Error{ErrorCode::UnknownCustomer, Segments[2]}));
+  Respond(jsonResponse(200, contractJson(Found->second)));
 }
 
 void Api::listContracts(const HttpResponder &Respond) {
   nlohmann::json Contracts = nlohmann::json::array();
   for (const auto &[Customer, Contract] : Components_.SharedConfig.contracts())
     Contracts.push_back(contractJson(Contract));
-  Respond(
-      jsonReply(200, {{"contracts", Contracts},
-                      {"applied", Components_.SharedConfig.appliedVersion()}}));
+  Respond(jsonResponse(
+      200, {{"contracts", Contracts},
+            {"applied", Components_.SharedConfig.appliedVersion()}}));
 }
 
 void Api::changeContract(const std::string &Customer,
@@ -317,7 +318,7 @@
                          const HttpResponder &Respond) {
   const auto Body = parseJson(Request.Body, false);
   if (!Body)
-    return Respond(errorReply(Body.error()));
+    return Respond(errorResponse(Body.error()));
   std::vector<Error> Faults;
   ObjectReader Reader(*Body, "", Faults);
   ContractChange Change;
@@ -338,17 +339,17 @@
   }
   Reader.finish();
   if (!Faults.empty())
-    return Respond(errorReply(joinFaults(Faults)));
+    return Respond(errorResponse(joinFaults(Faults)));
   Components_.SharedConfig.propose(
       Change, [Respond](Result<ChangeResult> Result) {
         if (!Result)
-          return Respond(errorReply(Result.error()));
-        Respond(jsonReply(Result->Accepted ? 200 : 202,
-                          {{"change_id", Result->ChangeId},
-                           {"accepted", Result->Accepted},
-                           {"in_force_everywhere", Result->InForce},
-                           {"waits_for", Result->UnacknowledgedBy},
-                           {"contract", toJson(Result->Record)}}));
+          return Respond(errorResponse(Result.error()));
+        Respond(jsonResponse(Result->Accepted ? 200 : 202,
+                             {{"change_id", Result->ChangeId},
+                              {"accepted", Result->Accepted},
+                              {"in_force_everywhere", Result->InForce},
+                              {"waits_for", Result->UnacknowledgedBy},
+                              {"contract", toJson(Result->Record)}}));
       });
 }
 
@@ -383,7 +384,7 @@
     for (const JobView &Job : Components_.LocalOwner->jobs())
       Output["jobs"].push_back(jobJson(Job));
   }
-  Respond(jsonReply(200, Output));
+  Respond(jsonResponse(200, Output));
 }
 
 void Api::showEvents(const HttpRequest &Request, const HttpResponder &Respond) {
@@ -397,8 +398,8 @@
                       {"name", eventInfo(LogEvent.Id).Name},
                       {"subject", LogEvent.Subject},
                       {"detail", LogEvent.Detail}});
-  Respond(
-      jsonReply(200, {{"process", Components_.Self.Name}, {"events", Events}}));
+  Respond(jsonResponse(
+      200, {{"process", Components_.Self.Name}, {"events", Events}}));
 }
 
 void Api::drainVm(const std::string &Vm, const HttpRequest &Request,
@@ -411,19 +412,19 @@
         });
     if (IsKnownVm) {
       Components_.LocalOwner->drain(Vm);
-      return Respond(jsonReply(202, {{"vm", Vm}, {"state", "leaving"}}));
+      return Respond(jsonResponse(202, {{"vm", Vm}, {"state", "leaving"}}));
     }
   }
   if (!Components_.LocalOwner &&
       findHeader(Request.Headers, "X-Forwarded-By").empty())
     return forwardToOwner(Components_.Config.Domain, Request, Respond);
-  Respond(errorReply(Error{ErrorCode::UnknownPath, Vm}));
+  Respond(errorResponse(Error{ErrorCode::UnknownPath, Vm}));
 }
 
 void Api::forwardToOwner(const std::string &Domain, const HttpRequest &Request,
                          HttpResponder Respond) {
   const HttpResponse NoOwnerResponse =
-      outcomeReply(Outcome::NotRun, Error{ErrorCode::NoOwner, Domain});
+      outcomeResponse(Outcome::NotRun, Error{ErrorCode::NoOwner, Domain});
   const bool AlreadyForwarded =
       !findHeader(Request.Headers, "X-Forwarded-By").empty();
   if (AlreadyForwarded)
@@ -436,7 +437,7 @@
   }
   const auto &Domains = Components_.Config.Domains;
   if (std::find(Domains.begin(), Domains.end(), Domain) == Domains.end())
-    return Respond(errorReply(Error{ErrorCode::UnknownJob, Domain}));
+    return Respond(errorResponse(Error{ErrorCode::UnknownJob, Domain}));
   Components_.RetryingTable.read(
       "owner/" + Domain,
       [this, Request, Respond, NoOwnerResponse](Result<TableRow> Row) {
@@ -463,9 +464,9 @@
         if (!Result) {
           const bool CertainlyNotSent =
               Result.error().Code == ErrorCode::ConnectFailed;
-          return Respond(outcomeReply(CertainlyNotSent ? Outcome::NotRun
-                                                       : Outcome::Unknown,
-                                      Result.error()));
+          return Respond(outcomeResponse(CertainlyNotSent ? Outcome::NotRun
+                                                          : Outcome::Unknown,
+                                         Result.error()));
         }
         HttpResponse Response = std::move(*Result);
         const std::string OutcomeHeader(
--- a/packages/daemon/src/Api.h
+++ b/packages/daemon/src/Api.h
@@ -7,7 +7,7 @@
 
 #include "DaemonComponents.h"
 #include "Metrics.h"
-#include "cuminroad/daemon/HttpReplies.h"
+#include "cuminroad/daemon/HttpResponses.h"
 #include "cuminroad/net/HttpServer.h"
 
 namespace cuminroad {
--- a/packages/daemon/src/ConfigManager.cpp
+++ b/packages/daemon/src/ConfigManager.cpp
@@ -167,10 +167,10 @@
     Identity Member = readMember(Row);
     Members.emplace(Member.Name, std::move(Member));
   }
-  const auto Own = Members.find(Self_.Name);
-  const bool Replaced =
-      Own != Members.end() && Own->second.Incarnation != Self_.Incarnation;
-  const bool Removed = Own == Members.end();
+  const auto SelfEntry = Members.find(Self_.Name);
+  const bool Replaced = SelfEntry != Members.end() &&
+                        SelfEntry->second.Incarnation != Self_.Incarnation;
+  const bool Removed = SelfEntry == Members.end();
   MemberRegistry_.publish(std::move(Members));
   if (Deregistering_)
     return;
@@ -326,7 +326,7 @@
 
 void ConfigManager::completeProposals(const std::vector<TableRow> &Members) {
   std::vector<WaitingProposal> Remaining;
-  std::vector<std::pair<ChangeDone, ChangeResult>> Answers;
+  std::vector<std::pair<ChangeDone, ChangeResult>> Completed;
   for (WaitingProposal &Entry : WaitingProposals_) {
     const auto Found = Contracts_.find(Entry.Customer);
     ChangeResult Out;
@@ -348,12 +348,12 @@
         Out.Accepted && !Members.empty() && Out.UnacknowledgedBy.empty();
     if (Out.InForce ||
         MonotonicClock_.now() - Entry.ProposedAt > InForceTimeout)
-      Answers.emplace_back(std::move(Entry.Done), std::move(Out));
+      Completed.emplace_back(std::move(Entry.Done), std::move(Out));
     else
       Remaining.push_back(std::move(Entry));
   }
   WaitingProposals_ = std::move(Remaining);
-  for (auto &[Done, Result] : Answers)
+  for (auto &[Done, Result] : Completed)
     Done(std::move(Result));
 }
 
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -17,10 +17,10 @@
 /// Added to the time after which an earlier owner's grants have lapsed and the
 /// requests started on them have ended, for clock differences and message
 /// delays.
-constexpr milliseconds GrantSettleMargin{3000};
+constexpr milliseconds RequestDrainMargin{3000};
 /// Added to the time after which no frontend starts requests on those grants;
 /// the VMs are then asked for the requests still in flight.
-constexpr milliseconds EarlyGrantSettleMargin{500};
+constexpr milliseconds EarlyRecoveryMargin{500};
 
 std::int64_t unixTimeMillis() {
   return std::chrono::duration_cast<milliseconds>(
@@ -31,8 +31,8 @@
 /// \returns the delay after which no frontend starts requests on an earlier
 /// owner's grants any more: the lease is over, and a frontend that was cut off
 /// together with that owner has noticed it.
-milliseconds earlyGrantSettleDelay(const Timings &Times) {
-  return Times.GrantLease + 2 * Times.GrantRenewal + EarlyGrantSettleMargin;
+milliseconds earlyRecoveryDelay(const Timings &Times) {
+  return Times.GrantLease + 2 * Times.GrantRenewal + EarlyRecoveryMargin;
 }
 
 /// \returns the prefix "NAME-DIGITS-" of the ids of the requests that a grant
@@ -44,10 +44,10 @@
          Holder.substr(Slash + 1, IncarnationDigits) + "-";
 }
 
-GrantTimings grantTimes(const Timings &Times) {
+GrantTimings grantTimings(const Timings &Times) {
   return GrantTimings{Times.GrantLease, Times.GrantLease +
                                             Times.MaxRequestTime +
-                                            GrantSettleMargin};
+                                            RequestDrainMargin};
 }
 
 } // namespace
@@ -56,8 +56,8 @@
     : Context_(Context), Term_(std::move(Term)),
       Scheduler_(makeScheduler(Context.MonotonicClock, SchedulerOptions(),
                                Term_.Epoch)),
-      Grants_(Context.MonotonicClock, grantTimes(Context.Config.Times),
-              Term_.HasPredecessor),
+      Grants_(Context.MonotonicClock, grantTimings(Context.Config.Times),
+              Term_.Inherited),
       Jobs_(std::make_shared<JobStore>(
           Context.PlatformTable, Context.ControlLoop,
           JobStoreScope{Context.Self.Domain, Term_.EpochKey,
@@ -89,18 +89,18 @@
     applyVmList(Context_.LastListing);
   pollVmList();
   runSchedulerPeriodically();
-  if (Term_.HasPredecessor)
+  if (Term_.Inherited)
     Context_.ControlLoop.after(
-        earlyGrantSettleDelay(Context_.Config.Times),
-        [Self = shared_from_this()] { Self->settleGrantsEarly(); });
+        earlyRecoveryDelay(Context_.Config.Times),
+        [Self = shared_from_this()] { Self->tryFinishRecoveryEarly(); });
 }
 
-void DomainOwner::settleGrantsEarly() {
+void DomainOwner::tryFinishRecoveryEarly() {
   if (Closed_ || Grants_.recovered())
     return;
   const auto Totals = std::make_shared<UntrackedRequests>();
   for (const auto &[Id, Vm] : Vms_)
-    Totals->PendingReplies += Vm.ListEntry.State != ListedState::Gone;
+    Totals->PendingResponses += Vm.ListEntry.State != ListedState::Gone;
   for (const auto &[Id, Vm] : Vms_) {
     if (Vm.ListEntry.State == ListedState::Gone)
       continue;
@@ -110,8 +110,8 @@
           if (Requests)
             Self->countUntrackedRequests(Id, *Requests, *Totals);
           // If any VM doesn't respond, the full settling time applies.
-          Totals->AllVmsReplied = Totals->AllVmsReplied && Requests;
-          if (--Totals->PendingReplies == 0 && Totals->AllVmsReplied &&
+          Totals->AllVmsResponded = Totals->AllVmsResponded && Requests;
+          if (--Totals->PendingResponses == 0 && Totals->AllVmsResponded &&
               !Self->Closed_)
             Self->Grants_.finishRecovery(Totals->CountByVm,
                                          Totals->CountByCustomer);
--- a/packages/daemon/src/GrantAllocator.cpp
+++ b/packages/daemon/src/GrantAllocator.cpp
@@ -10,7 +10,7 @@
 
 /// Holds the caps for requests in flight of daemons that sent no grant request
 /// to this owner.
-constexpr const char *UnreportedHolderId = "unheard";
+constexpr const char *UntrackedHolderId = "unheard";
 
 std::string holderId(const GrantRequest &Request) {
   return Request.From + "/" + Request.Incarnation;
@@ -285,12 +285,12 @@
   RecoveryEndsAt_ = MonotonicClock_.now();
   // As if the holder's lease had lapsed just now: its requests have ended
   // before removeExpiredHolders() removes it.
-  Holders_[UnreportedHolderId].LastRequestAt =
+  Holders_[UntrackedHolderId].LastRequestAt =
       MonotonicClock_.now() - Timings_.Lease;
   for (const auto &[Vm, Count] : OnVms)
-    Vms_[Vm].CapByHolder[UnreportedHolderId] = Count;
+    Vms_[Vm].CapByHolder[UntrackedHolderId] = Count;
   for (const auto &[Customer, Count] : OfCustomers)
-    Customers_[Customer].CapByHolder[UnreportedHolderId] = Count;
+    Customers_[Customer].CapByHolder[UntrackedHolderId] = Count;
 }
 
 std::vector<std::string> GrantAllocator::holderIds() const {
--- a/packages/daemon/src/HttpReplies.cpp
+++ b/packages/daemon/src/HttpResponses.cpp
@@ -1,4 +1,4 @@
-#include "cuminroad/daemon/HttpReplies.h"
+#include "cuminroad/daemon/HttpResponses.h"
 
 #include <nlohmann/json.hpp>
 
@@ -61,7 +61,7 @@
   return "unknown";
 }
 
-HttpResponse jsonReply(int Status, const nlohmann::json &Body) {
+HttpResponse jsonResponse(int Status, const nlohmann::json &Body) {
   return HttpResponse{
       Status,
       {},
@@ -69,16 +69,16 @@
           "\n"};
 }
 
-HttpResponse errorReply(const Error &Failure) {
-  return jsonReply(statusOf(Failure.Code), {{"error", errorBody(Failure)}});
+HttpResponse errorResponse(const Error &Failure) {
+  return jsonResponse(statusOf(Failure.Code), {{"error", errorBody(Failure)}});
 }
 
-HttpResponse outcomeReply(Outcome RequestOutcome, const Error &Cause) {
+HttpResponse outcomeResponse(Outcome RequestOutcome, const Error &Cause) {
   const int Status =
       RequestOutcome == Outcome::NotRun ? statusOf(Cause.Code) : 504;
   HttpResponse Response =
-      jsonReply(Status, {{"outcome", outcomeName(RequestOutcome)},
-                         {"error", errorBody(Cause)}});
+      jsonResponse(Status, {{"outcome", outcomeName(RequestOutcome)},
+                            {"error", errorBody(Cause)}});
   Response.Headers.emplace_back("X-Outcome", outcomeName(RequestOutcome));
   return Response;
 }
--- a/packages/daemon/src/RequestFrontend.cpp
+++ b/packages/daemon/src/RequestFrontend.cpp
@@ -59,7 +59,7 @@
   /// Whether an attempt ended without a response.
   bool MayHaveRun = false;
   /// VMs that failed an attempt; later attempts avoid them.
-  std::set<std::string> ExcludedVms;
+  std::set<std::string> AvoidedVms;
   /// Called exactly once, with the outcome and the response for the caller.
   std::function<void(Outcome, HttpResponse)> OnFinished;
 };
@@ -111,11 +111,11 @@
                                     HttpResponder Respond) {
   const auto Terms = Context_.Contracts.find(Customer);
   if (!Terms)
-    return Respond(outcomeReply(Outcome::NotRun,
-                                Error{ErrorCode::UnknownCustomer, Customer}));
+    return Respond(outcomeResponse(
+        Outcome::NotRun, Error{ErrorCode::UnknownCustomer, Customer}));
   auto Options = parseRequestOptions(Request, *Terms, Service);
   if (!Options)
-    return Respond(errorReply(Options.error()));
+    return Respond(errorResponse(Options.error()));
   auto Call = std::make_shared<ServiceCall>();
   Call->Id = NextCallId_++;
   Call->Customer = Customer;
@@ -146,7 +146,7 @@
       "{}~{}~{}", Context_.Self.Name, Context_.Self.Incarnation, NextCallId_++);
   const std::lock_guard Lock(Mutex_);
   IdempotencyCache_.add("ticket/" + Ticket);
-  return jsonReply(200, {{"ticket", Ticket}});
+  return jsonResponse(200, {{"ticket", Ticket}});
 }
 
 void RequestFrontend::handleTicket(ServiceCallPtr Call, HttpRequest Request,
@@ -155,7 +155,8 @@
   const std::size_t First = Ticket.find('~');
   const std::size_t Second = Ticket.find('~', First + 1);
   if (First == std::string::npos || Second == std::string::npos)
-    return Respond(errorReply(Error{ErrorCode::ValueOutOfRange, "X-Ticket"}));
+    return Respond(
+        errorResponse(Error{ErrorCode::ValueOutOfRange, "X-Ticket"}));
   const std::string Daemon = Ticket.substr(0, First);
   const std::string Incarnation = Ticket.substr(First + 1, Second - First - 1);
   if (Daemon != Context_.Self.Name || Incarnation != Context_.Self.Incarnation)
@@ -199,7 +200,7 @@
                                      bool NewlyClaimed) {
   if (!Claim) {
     // Whether or not the claim was written, the request was not sent.
-    return Respond(outcomeReply(Outcome::NotRun, Claim.error()));
+    return Respond(outcomeResponse(Outcome::NotRun, Claim.error()));
   }
   if (Claim->Daemon != Context_.Self.Name ||
       Claim->Incarnation != Context_.Self.Incarnation)
@@ -243,7 +244,7 @@
   case IdempotencyState::Unknown:
     // The request may have run, and its response is not cached.
     return Respond(
-        outcomeReply(Outcome::Unknown, Error{UnavailableError, CacheKey}));
+        outcomeResponse(Outcome::Unknown, Error{UnavailableError, CacheKey}));
   }
   Call->OnFinished = [this, CacheKey](Outcome CallOutcome,
                                       HttpResponse Response) {
@@ -270,8 +271,8 @@
   const bool AlreadyForwarded =
       !findHeader(Request.Headers, "X-Forwarded-By").empty();
   if (!Member || Member->Incarnation != Incarnation || AlreadyForwarded)
-    return Respond(outcomeReply(Outcome::Unknown,
-                                Error{ErrorCode::TicketOwnerGone, Daemon}));
+    return Respond(outcomeResponse(Outcome::Unknown,
+                                   Error{ErrorCode::TicketOwnerGone, Daemon}));
   HttpCall Call;
   Call.Method = Request.Method;
   Call.Url = Context_.Config.reachable("http://" + Member->Http + Request.Path);
@@ -286,8 +287,8 @@
   Context_.Client.send(std::move(Call), [Respond = std::move(Respond),
                                          Daemon](HttpResult Result) {
     if (!Result)
-      return Respond(outcomeReply(Outcome::Unknown,
-                                  Error{ErrorCode::TicketOwnerGone, Daemon}));
+      return Respond(outcomeResponse(
+          Outcome::Unknown, Error{ErrorCode::TicketOwnerGone, Daemon}));
     HttpResponse Response = std::move(*Result);
     const std::string ContentType(findHeader(Response.Headers, "Content-Type"));
     const std::string OutcomeHeader(findHeader(Response.Headers, "X-Outcome"));
@@ -307,12 +308,12 @@
 }
 
 void RequestFrontend::enqueue(ServiceCallPtr Call) {
-  SlotRequest Demand{Call->Id,     Call->Customer, Call->Service,
-                     Call->Urgent, Call->StartBy,  Call->ExcludedVms};
+  SlotRequest Request{Call->Id,     Call->Customer, Call->Service,
+                      Call->Urgent, Call->StartBy,  Call->AvoidedVms};
   Result<void> EnqueueResult;
   {
     const std::lock_guard Lock(Mutex_);
-    EnqueueResult = Admission_.enqueue(std::move(Demand));
+    EnqueueResult = Admission_.enqueue(std::move(Request));
     if (EnqueueResult)
       WaitingCalls_[Call->Id] = Call;
   }
@@ -320,7 +321,7 @@
     const Outcome CallOutcome =
         Call->MayHaveRun ? Outcome::Unknown : Outcome::NotRun;
     return finish(Call, CallOutcome,
-                  outcomeReply(CallOutcome, EnqueueResult.error()));
+                  outcomeResponse(CallOutcome, EnqueueResult.error()));
   }
   dispatchReady();
 }
@@ -400,7 +401,7 @@
     Context_.ControlLoop.after(
         std::max(TimeLeft, milliseconds(0)) + DeadlineMargin,
         [this, HeldSlot, SentAt] { releaseSlot(HeldSlot, SentAt); });
-    Call->ExcludedVms.insert(HeldSlot.Vm);
+    Call->AvoidedVms.insert(HeldSlot.Vm);
     return retryOrFinish(std::move(Call), Result.error());
   }
   const std::string RefusalReason(
@@ -411,7 +412,7 @@
   }
   releaseSlot(HeldSlot, SentAt);
   if (!Result || !RefusalReason.empty()) {
-    Call->ExcludedVms.insert(HeldSlot.Vm);
+    Call->AvoidedVms.insert(HeldSlot.Vm);
     return retryOrFinish(std::move(Call),
                          Result
                              ? Error{ErrorCode::BackendRefused, RefusalReason}
@@ -446,7 +447,7 @@
     const Outcome CallOutcome =
         Call->MayHaveRun ? Outcome::Unknown : Outcome::NotRun;
     return finish(std::move(Call), CallOutcome,
-                  outcomeReply(CallOutcome, Cause));
+                  outcomeResponse(CallOutcome, Cause));
   }
   Call->StartBy = Call->Deadline - MinAttemptTime;
   Context_.ControlLoop.after(Delay,
@@ -497,7 +498,7 @@
     const Outcome CallOutcome =
         Call->MayHaveRun ? Outcome::Unknown : Outcome::NotRun;
     const Error Reason{Code, Call->Service};
-    finish(std::move(Call), CallOutcome, outcomeReply(CallOutcome, Reason));
+    finish(std::move(Call), CallOutcome, outcomeResponse(CallOutcome, Reason));
   }
 }
 
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -17,7 +17,8 @@
 
 } // namespace
 
-TablelessTakeover::TablelessTakeover(DaemonComponents &Parts) : Parts_(Parts) {}
+TablelessTakeover::TablelessTakeover(DaemonComponents &Components)
+    : Components_(Components) {}
 
 void TablelessTakeover::start() {
   recordOwnerContact();
@@ -25,44 +26,47 @@
 }
 
 void TablelessTakeover::scheduleCheck() {
-  Parts_.ControlLoop->after(CheckInterval, [this] { check(); });
+  Components_.ControlLoop->after(CheckInterval, [this] { check(); });
 }
 
 milliseconds TablelessTakeover::silenceLimit() const {
-  return Parts_.Config.Times.TaskRenewal + RenewalMargin;
+  return Components_.Config.Times.TaskRenewal + RenewalMargin;
 }
 
 bool TablelessTakeover::isDue() const {
-  return !Parts_.DomainOwnership.isOwner() &&
-         !Parts_.RetryingTable.reachable() && !Parts_.LastListing.Vms.empty() &&
-         Parts_.MonotonicClock.now() - LastContactAt_ > silenceLimit();
+  return !Components_.DomainOwnership.isOwner() &&
+         !Components_.RetryingTable.reachable() &&
+         !Components_.LastListing.Vms.empty() &&
+         Components_.MonotonicClock.now() - LastContactAt_ > silenceLimit();
 }
 
 void TablelessTakeover::check() {
   if (!isDue())
     return scheduleCheck();
   const auto Round = std::make_shared<PollRound>();
-  Round->Outstanding = Parts_.LastListing.Vms.size();
-  for (const ListedVm &Vm : Parts_.LastListing.Vms)
+  Round->Outstanding = Components_.LastListing.Vms.size();
+  for (const ListedVm &Vm : Components_.LastListing.Vms)
     queryVm(Vm.Spec, Round);
 }
 
 void TablelessTakeover::queryVm(const VmSpec &Vm,
                                 const std::shared_ptr<PollRound> &Round) {
   HttpCall Call;
-  Call.Url = Parts_.Config.reachable(Vm.Url + "/holder");
+  Call.Url = Components_.Config.reachable(Vm.Url + "/holder");
   Call.Timeout = QueryTimeout;
-  Parts_.ControlClient->send(std::move(Call), [this, Round](HttpResult Answer) {
-    Parts_.ControlLoop->post([this, Round, Answer = std::move(Answer)] {
-      addResponse(Answer, Round);
-    });
-  });
+  Components_.ControlClient->send(
+      std::move(Call), [this, Round](HttpResult Response) {
+        Components_.ControlLoop->post(
+            [this, Round, Response = std::move(Response)] {
+              addResponse(Response, Round);
+            });
+      });
 }
 
-void TablelessTakeover::addResponse(const HttpResult &Answer,
+void TablelessTakeover::addResponse(const HttpResult &Response,
                                     const std::shared_ptr<PollRound> &Round) {
-  if (Answer && Answer->Status == 200) {
-    const auto Body = parseJson(Answer->Body, false);
+  if (Response && Response->Status == 200) {
+    const auto Body = parseJson(Response->Body, false);
     if (Body) {
       const milliseconds SinceRenewal(
           Body->value("renewed_ms_ago", std::int64_t(0)));
@@ -79,12 +83,13 @@
 
 void TablelessTakeover::finishRound(const PollRound &Round) {
   // One renewed lease is enough to show that the owner is alive.
-  const bool Majority = Round.StaleLeases * 2 > Parts_.LastListing.Vms.size();
+  const bool Majority =
+      Round.StaleLeases * 2 > Components_.LastListing.Vms.size();
   if (isDue() && Majority && Round.FreshLeases == 0) {
-    OwnerInfo Last = Parts_.DomainOwnership.owner();
+    OwnerInfo Last = Components_.DomainOwnership.owner();
     Last.Epoch = std::max(Last.Epoch, Round.HighestEpoch);
-    Parts_.DomainOwnership.observe(Last);
-    Parts_.DomainOwnership.takeOverWithoutTable();
+    Components_.DomainOwnership.observe(Last);
+    Components_.DomainOwnership.takeOverWithoutTable();
   }
   scheduleCheck();
 }
--- a/packages/daemon/src/TablelessTakeover.h
+++ b/packages/daemon/src/TablelessTakeover.h
@@ -13,11 +13,13 @@
 /// network would displace a healthy owner. Runs on the control thread.
 class TablelessTakeover {
 public:
-  explicit TablelessTakeover(DaemonComponents &Parts);
+  explicit TablelessTakeover(DaemonComponents &Components);
   /// Begins to check regularly whether a takeover is due.
   void start();
   /// To be called when a message of the owner arrives.
-  void recordOwnerContact() { LastContactAt_ = Parts_.MonotonicClock.now(); }
+  void recordOwnerContact() {
+    LastContactAt_ = Components_.MonotonicClock.now();
+  }
 
 private:
   /// The VMs' responses to one round of queries.
@@ -38,11 +40,11 @@
   /// renewal, before a takeover.
   milliseconds silenceLimit() const;
   void queryVm(const VmSpec &Vm, const std::shared_ptr<PollRound> &Round);
-  void addResponse(const HttpResult &Answer,
+  void addResponse(const HttpResult &Response,
                    const std::shared_ptr<PollRound> &Round);
   void finishRound(const PollRound &Round);
 
-  DaemonComponents &Parts_;
+  DaemonComponents &Components_;
   TimePoint LastContactAt_{};
 };
 
--- a/packages/daemon/src/VmSession.cpp
+++ b/packages/daemon/src/VmSession.cpp
@@ -38,12 +38,12 @@
 
 /// \returns the parsed body of a VM's response, or a failure unless its status
 /// is 200.
-Result<nlohmann::json> parseReplyBody(const HttpResult &Reply) {
-  if (!Reply)
-    return tl::unexpected(Reply.error());
-  if (Reply->Status != StatusOk)
+Result<nlohmann::json> parseResponseBody(const HttpResult &Response) {
+  if (!Response)
+    return tl::unexpected(Response.error());
+  if (Response->Status != StatusOk)
     return failure(ErrorCode::BackendRefused);
-  return parseJson(Reply->Body, false);
+  return parseJson(Response->Body, false);
 }
 
 Capacity parseCapacity(const nlohmann::json &Input) {
@@ -78,10 +78,10 @@
   Call.Body = Body.dump();
   Call.Timeout = Timeout;
   Client_.send(std::move(Call), [Self = shared_from_this(),
-                                 Done = std::move(Done)](HttpResult Reply) {
-    Self->ControlLoop_.post([Self, Done, Reply = std::move(Reply)] {
+                                 Done = std::move(Done)](HttpResult Response) {
+    Self->ControlLoop_.post([Self, Done, Response = std::move(Response)] {
       if (!Self->Closed_)
-        Done(Reply);
+        Done(Response);
     });
   });
 }
@@ -94,23 +94,24 @@
   Body["holder"] = Claim_.Holder;
   Body["lease_ms"] = Config_.Times.TaskLease.count();
   const TimePoint SentAt = MonotonicClock_.now();
-  postToVm("claim", Body, CallTimeout, [this, SentAt](const HttpResult &Reply) {
-    if (Reply || Reply.error().Code != ErrorCode::ConnectFailed)
-      LastRenewalSentAt_ = SentAt;
-    handleClaimReply(Reply);
-  });
+  postToVm("claim", Body, CallTimeout,
+           [this, SentAt](const HttpResult &Response) {
+             if (Response || Response.error().Code != ErrorCode::ConnectFailed)
+               LastRenewalSentAt_ = SentAt;
+             handleClaimResponse(Response);
+           });
 }
 
-void VmSession::handleClaimReply(const HttpResult &Reply) {
-  if (Reply && Reply->Status == StatusConflict)
-    return handleStaleFencingToken(Reply);
-  const auto Body = parseReplyBody(Reply);
+void VmSession::handleClaimResponse(const HttpResult &Response) {
+  if (Response && Response->Status == StatusConflict)
+    return handleStaleFencingToken(Response);
+  const auto Body = parseResponseBody(Response);
   if (!Body)
     return handleLeaseCallFailure();
   Held_ = true;
   ConsecutiveFailures_ = 0;
   MayRunTasks_ = true;
-  LastReplyAt_ = MonotonicClock_.now();
+  LastResponseAt_ = MonotonicClock_.now();
   std::vector<InventoryTask> Running;
   for (const nlohmann::json &Item : Body->at("running"))
     Running.push_back(
@@ -127,8 +128,8 @@
   sendRenewal();
 }
 
-void VmSession::handleStaleFencingToken(const HttpResult &Reply) {
-  const auto Body = parseJson(Reply->Body, false);
+void VmSession::handleStaleFencingToken(const HttpResult &Response) {
+  const auto Body = parseJson(Response->Body, false);
   const std::int64_t FencingToken =
       Body ? Body->value("fence", std::int64_t(0)) : 0;
   const std::int64_t Epoch = epochOfFencingToken(FencingToken);
@@ -165,27 +166,27 @@
   const TimePoint SentAt = MonotonicClock_.now();
   const std::int64_t FencingToken = FencingToken_;
   postToVm("renew", Body, Config_.Times.TaskRenewal + CallTimeout,
-           [this, SentAt, FencingToken, Acks](const HttpResult &Reply) {
-             if (Reply || Reply.error().Code != ErrorCode::ConnectFailed)
+           [this, SentAt, FencingToken, Acks](const HttpResult &Response) {
+             if (Response || Response.error().Code != ErrorCode::ConnectFailed)
                LastRenewalSentAt_ = SentAt;
-             if (!Reply)
+             if (!Response)
                PendingAcks_.insert(PendingAcks_.end(), Acks.begin(),
                                    Acks.end());
-             handleRenewalReply(FencingToken, Reply);
+             handleRenewalResponse(FencingToken, Response);
            });
 }
 
-void VmSession::handleRenewalReply(std::int64_t FencingToken,
-                                   const HttpResult &Reply) {
+void VmSession::handleRenewalResponse(std::int64_t FencingToken,
+                                      const HttpResult &Response) {
   if (FencingToken != FencingToken_)
     return;
-  if (Reply && Reply->Status == StatusConflict)
-    return handleStaleFencingToken(Reply);
-  const auto Body = parseReplyBody(Reply);
+  if (Response && Response->Status == StatusConflict)
+    return handleStaleFencingToken(Response);
+  const auto Body = parseResponseBody(Response);
   if (!Body)
     return handleLeaseCallFailure();
   ConsecutiveFailures_ = 0;
-  LastReplyAt_ = MonotonicClock_.now();
+  LastResponseAt_ = MonotonicClock_.now();
   reportEndedTasks(Body->at("ended"));
   for (const nlohmann::json &Item : Body->at("usage"))
     Listener_.onUsageReported(Claim_.Vm, parseTaskAttempt(Item),
@@ -212,8 +213,8 @@
   // Retry for half of the lease; then send nothing more until it has lapsed.
   const bool ShouldAwaitLapse =
       MayRunTasks_ &&
-      MonotonicClock_.now() - LastReplyAt_ > Config_.Times.TaskLease / 2;
-  if (ShouldAwaitLapse && LastReplyAt_ != TimePoint()) {
+      MonotonicClock_.now() - LastResponseAt_ > Config_.Times.TaskLease / 2;
+  if (ShouldAwaitLapse && LastResponseAt_ != TimePoint()) {
     Held_ = false;
     return awaitLeaseLapse();
   }
@@ -283,17 +284,17 @@
   }
   const std::int64_t FencingToken = FencingToken_;
   postToVm("start", Body, CallTimeout,
-           [this, FencingToken, SentStarts](const HttpResult &Reply) {
-             handleStartsReply(FencingToken, SentStarts, Reply);
+           [this, FencingToken, SentStarts](const HttpResult &Response) {
+             handleStartsResponse(FencingToken, SentStarts, Response);
            });
 }
 
-void VmSession::handleStartsReply(std::int64_t FencingToken,
-                                  std::vector<StartTask> SentStarts,
-                                  const HttpResult &Reply) {
+void VmSession::handleStartsResponse(std::int64_t FencingToken,
+                                     std::vector<StartTask> SentStarts,
+                                     const HttpResult &Response) {
   if (FencingToken != FencingToken_)
     return;
-  const auto Body = parseReplyBody(Reply);
+  const auto Body = parseResponseBody(Response);
   if (!Body) {
     // The VM accepts each attempt only once, so resending is safe. If the VM is
     // lost or claimed again, the new inventory shows which tasks started.
@@ -331,9 +332,9 @@
     }
     const std::int64_t FencingToken = FencingToken_;
     postToVm("stop", Body, CallTimeout,
-             [this, FencingToken, SentStops](const HttpResult &Reply) {
+             [this, FencingToken, SentStops](const HttpResult &Response) {
                if (FencingToken != FencingToken_ ||
-                   (Reply && Reply->Status == StatusOk))
+                   (Response && Response->Status == StatusOk))
                  return;
                for (const StopTask &Command : SentStops)
                  if (UnconfirmedStops_.contains(Command.Task))
@@ -356,8 +357,8 @@
 void VmSession::fetchInFlightRequests(
     std::function<void(std::optional<std::vector<InFlightRequest>>)> Done) {
   postToVm("in_flight", bodyWithFencingToken(), CallTimeout,
-           [Done = std::move(Done)](const HttpResult &Reply) {
-             const auto Body = parseReplyBody(Reply);
+           [Done = std::move(Done)](const HttpResult &Response) {
+             const auto Body = parseResponseBody(Response);
              if (!Body)
                return Done(std::nullopt);
              std::vector<InFlightRequest> Requests;
--- a/packages/daemon/tests/GrantTest.cpp
+++ b/packages/daemon/tests/GrantTest.cpp
@@ -179,12 +179,12 @@
   }
 
   void enqueue(Frontend &Target) {
-    SlotRequest Wanted;
-    Wanted.Id = Target.NextId++;
-    Wanted.Customer = "c";
-    Wanted.Service = "s";
-    Wanted.StartBy = TestClock.now() + milliseconds(500);
-    (void)Target.Controller.enqueue(Wanted);
+    SlotRequest Request;
+    Request.Id = Target.NextId++;
+    Request.Customer = "c";
+    Request.Service = "s";
+    Request.StartBy = TestClock.now() + milliseconds(500);
+    (void)Target.Controller.enqueue(Request);
   }
 
   void endOldestRequest(Frontend &Target) {
@@ -267,14 +267,14 @@
   GrantAllocator Owner(TestClock, GrantTimings{Lease, RequestDrainTime}, false);
   Owner.setCustomer("c", 4);
   const auto SendRequest = [&](const char *From, std::int64_t Seq, int Cap,
-                               int Wanted) {
+                               int Demand) {
     GrantRequest Request;
     Request.From = From;
     Request.Incarnation = "1";
     Request.Seq = Seq;
     if (Cap > 0)
       Request.CustomerCaps = {{"c", Cap}};
-    Request.CustomerDemand = {{"c", Wanted}};
+    Request.CustomerDemand = {{"c", Demand}};
     return Owner.handleRequest(Request);
   };
   BOOST_CHECK_EQUAL(SendRequest("door0", 1, 0, 2).Reply.CustomerCaps["c"], 4);
--- a/packages/daemon/tests/ShareTest.cpp
+++ b/packages/daemon/tests/ShareTest.cpp
@@ -91,14 +91,14 @@
 
 /// A domain that uses as much of its share as it wants.
 struct SimulatedDomain final : DomainUsage {
-  ShareAmount Wanted;
+  ShareAmount Demand;
   ShareAmount Used;
   std::shared_ptr<ShareManager> Manager;
   ContractTerms Terms;
 
   ShareAmount demand(const std::string &) const override {
-    ShareAmount Out = Wanted;
-    Out.Requests = std::max(Wanted.Requests, Used.Requests);
+    ShareAmount Out = Demand;
+    Out.Requests = std::max(Demand.Requests, Used.Requests);
     return Out;
   }
   ShareAmount maxUsage(const std::string &) const override { return Used; }
@@ -107,18 +107,18 @@
   void useShare() {
     const ShareAmount Allowed =
         transferableLimits(Manager->currentShare(Customer, Terms));
-    const auto Grow = [](std::int64_t &Now, std::int64_t Want,
+    const auto Grow = [](std::int64_t &Now, std::int64_t Target,
                          std::int64_t Limit) {
-      Now = std::max(Now, std::min(Want, Limit));
+      Now = std::max(Now, std::min(Target, Limit));
     };
-    Grow(Used.Held.MilliCores, Wanted.Held.MilliCores, Allowed.Held.MilliCores);
-    Grow(Used.Requests, Wanted.Requests, Allowed.Requests);
+    Grow(Used.Held.MilliCores, Demand.Held.MilliCores, Allowed.Held.MilliCores);
+    Grow(Used.Requests, Demand.Requests, Allowed.Requests);
   }
   /// Ends the usage beyond what the domain wants.
-  void releaseUnwanted() {
+  void releaseExcess() {
     Used.Held.MilliCores =
-        std::min(Used.Held.MilliCores, Wanted.Held.MilliCores);
-    Used.Requests = std::min(Used.Requests, Wanted.Requests);
+        std::min(Used.Held.MilliCores, Demand.Held.MilliCores);
+    Used.Requests = std::min(Used.Requests, Demand.Requests);
   }
 };
 
@@ -153,13 +153,13 @@
     const std::uint32_t Argument = RandomBits >> 8;
     switch (RandomBits % 16) {
     case 0:
-      Chosen.Wanted.Held.MilliCores = Argument % 3500;
+      Chosen.Demand.Held.MilliCores = Argument % 3500;
       break;
     case 1:
-      Chosen.Wanted.Requests = Argument % 12;
+      Chosen.Demand.Requests = Argument % 12;
       break;
     case 2:
-      Chosen.releaseUnwanted();
+      Chosen.releaseExcess();
       break;
     case 3:
       if (Argument % 16 == 0)
@@ -210,7 +210,7 @@
 BOOST_AUTO_TEST_CASE(twoDomainsThatRequestMoreThanTheirPartAreBothServed) {
   Simulation Simulated;
   for (const char *Domain : {"d1", "d2"})
-    Simulated.SimulatedDomains[Domain].Wanted.Held.MilliCores = 2500;
+    Simulated.SimulatedDomains[Domain].Demand.Held.MilliCores = 2500;
   std::set<std::string> Served;
   std::uint32_t Choice = 1;
   for (int Step = 0; Step < 20000 && Served.size() < 2; ++Step) {
@@ -220,11 +220,11 @@
       SimulatedDomain &Chosen = Simulated.SimulatedDomains[Domain];
       if (transferableLimits(
               Chosen.Manager->currentShare(Customer, Chosen.Terms))
-              .Held.MilliCores < Chosen.Wanted.Held.MilliCores)
+              .Held.MilliCores < Chosen.Demand.Held.MilliCores)
         continue;
       // The work runs and ends, and its part becomes available to others.
       Served.insert(Domain);
-      Chosen.Wanted = {};
+      Chosen.Demand = {};
     }
   }
   BOOST_CHECK_EQUAL(Served.size(), 2);
