--- a/packages/daemon/include/cuminroad/daemon/ConfigManager.h
+++ b/packages/daemon/include/cuminroad/daemon/ConfigManager.h
@@ -106,7 +106,7 @@
   nlohmann::json memberValue(std::int64_t AcknowledgedHead) const;
   void poll();
   void pollPeriodically();
-  /// Ends a poll, and starts the next one if it was asked for meanwhile.
+  /// Ends a poll, and starts the next one if poll() was called meanwhile.
   void finishPoll();
   void reload(std::int64_t Head);
   void applyContracts(const std::vector<TableRow> &Rows);
@@ -121,8 +121,8 @@
   void accept(const VersionedContract &Contract);
   /// Calls back for proposals that are in force or have waited too long.
   void completeProposals(const std::vector<TableRow> &Members);
-  /// \returns the write that raises the head row's version, which tells all
-  /// daemons to read the configuration again.
+  /// \returns the write that raises the head row's version, which makes all
+  /// daemons read the configuration again.
   static RowWrite headWrite(const std::string &Reason);
 
   Table &Rows_;
--- a/packages/daemon/include/cuminroad/daemon/ShareManager.h
+++ b/packages/daemon/include/cuminroad/daemon/ShareManager.h
@@ -92,8 +92,8 @@
   /// which is not the case if at least as much was requested before.
   bool requestMore(const std::string &Customer, const ContractTerms &Terms,
                    const ShareAmount &Shortfall);
-  /// Lowers the domain's limit by what it has beyond \p Demand and its reserved
-  /// share, if another domain has requested it.
+  /// Lowers the domain's limit by the part that exceeds both \p Demand and its
+  /// reserved share, as far as another domain has requested it.
   void startTransfer(const std::string &Customer, const ContractTerms &Terms,
                      const ShareAmount &Demand);
   /// Transfers the part if nothing uses it any more.
--- a/packages/daemon/include/cuminroad/daemon/VmSession.h
+++ b/packages/daemon/include/cuminroad/daemon/VmSession.h
@@ -143,7 +143,7 @@
   int ConsecutiveFailures_ = 0;
   /// When the last claim or renewal that may have reached the VM was sent.
   TimePoint LastRenewalSentAt_{};
-  /// When the last successful reply to a claim or renewal arrived.
+  /// When the last successful response to a claim or renewal arrived.
   TimePoint LastResponseAt_{};
   std::vector<StartTask> PendingStarts_;
   std::vector<StopTask> PendingStops_;
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -14,12 +14,11 @@
 /// Interval of scheduling passes without an event, for work that becomes due by
 /// time alone.
 constexpr milliseconds ScheduleInterval{50};
-/// Added to the time after which an earlier owner's grants have lapsed and the
-/// requests started on them have ended, for clock differences and message
-/// delays.
+/// Part of GrantTimings::RequestDrainTime that allows for clock differences and
+/// message delays.
 constexpr milliseconds RequestDrainMargin{3000};
-/// Added to the time after which no frontend starts requests on those grants;
-/// the VMs are then asked for the requests still in flight.
+/// Part of earlyRecoveryDelay() that allows for the same. After that delay the
+/// VMs are queried for the requests still in flight.
 constexpr milliseconds EarlyRecoveryMargin{500};
 
 std::int64_t unixTimeMillis() {
@@ -109,7 +108,7 @@
          Id = Id](const std::optional<std::vector<InFlightRequest>> &Requests) {
           if (Requests)
             Self->countUntrackedRequests(Id, *Requests, *Totals);
-          // If any VM doesn't respond, the full settling time applies.
+          // If any VM doesn't respond, the full recovery period applies.
           Totals->AllVmsResponded = Totals->AllVmsResponded && Requests;
           if (--Totals->PendingResponses == 0 && Totals->AllVmsResponded &&
               !Self->Closed_)
--- a/packages/daemon/src/JobStore.cpp
+++ b/packages/daemon/src/JobStore.cpp
@@ -175,8 +175,8 @@
   Change.Writes = {{markerKey(), {{"epoch", Scope_.EpochVersion}}}};
   Batch SentBatch = std::exchange(NextBatch_, {});
   while (SentBatch.Jobs.size() > MaxJobsPerWrite) {
-    // The callbacks stay with the last part, so that none is called before its
-    // change is committed.
+    // All callbacks are called after the last transaction of the batch, so that
+    // none is called before its change is committed.
     NextBatch_.Jobs.insert(
         SentBatch.Jobs.extract(std::prev(SentBatch.Jobs.end())));
   }
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -42,12 +42,13 @@
   const TableUse TableCalls = Components.PlatformTable.use();
   const HttpTraffic ControlTraffic = Components.ControlClient->traffic();
   const auto Number = [](auto Value) { return static_cast<double>(Value); };
-  setGauge("cuminroad_requests_done_total", "Requests answered whole.",
+  setGauge("cuminroad_requests_done_total",
+           "Requests that got a backend server's response.",
            Number(Outcomes.Done));
   setGauge("cuminroad_requests_not_run_total", "Requests certainly not run.",
            Number(Outcomes.NotRun));
   setGauge("cuminroad_requests_unknown_total",
-           "Requests that may have run without an answer.",
+           "Requests that may have run and got no response.",
            Number(Outcomes.Unknown));
   setGauge("cuminroad_request_retries_total", "Requests sent again.",
            Number(Outcomes.Retries));
@@ -57,7 +58,8 @@
            Components.LocalOwner ? 1.0 : 0.0);
   setGauge("cuminroad_owner_epoch", "The newest epoch known.",
            Number(Components.DomainOwnership.owner().Epoch));
-  setGauge("cuminroad_store_reachable", "1 while the platform's table answers.",
+  setGauge("cuminroad_store_reachable",
+           "1 while the platform's table responds.",
            Components.RetryingTable.reachable() ? 1.0 : 0.0);
   setGauge("cuminroad_config_version", "Version of the configuration applied.",
            Number(Components.SharedConfig.appliedVersion()));
--- a/packages/daemon/src/Ownership.cpp
+++ b/packages/daemon/src/Ownership.cpp
@@ -66,8 +66,9 @@
                     Row.Value.value("incarnation", ""),
                     Row.Value.value("http", ""), Row.Value.value("peer", ""),
                     Row.Value.value("epoch", std::int64_t(0))};
-    // An owner that released its row left no holder in it, and the process that
-    // an earlier incarnation of this daemon's name stands for has ended.
+    // An owner that released its row left no holder in it. A holder with this
+    // daemon's name and another incarnation is an earlier process of this
+    // daemon, which has ended.
     const bool Vacant =
         Other.Holder.empty() ||
         (Other.Holder == Self_.Name && Other.Incarnation != Self_.Incarnation);
--- a/packages/daemon/src/ShareManager.cpp
+++ b/packages/daemon/src/ShareManager.cpp
@@ -191,7 +191,7 @@
   ShareRow Row =
       scaledToTerms(Found->second.Row, Terms, Customer, Context_.Domains);
   if (Row.nextRecipient() == Context_.Domain) {
-    // The domain has what it needs by now.
+    // This domain no longer needs what it requested.
     Row.TransferRequests.erase(Context_.Domain);
     return write(Customer, Row, Found->second.Version, [] {});
   }
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -12,7 +12,7 @@
 
 constexpr milliseconds CheckInterval{1000};
 constexpr milliseconds QueryTimeout{1000};
-/// Added to the time for which a VM may hold back its reply to a renewal.
+/// Added to the time for which a VM may delay its response to a renewal.
 constexpr milliseconds RenewalMargin{2000};
 
 } // namespace
--- a/packages/daemon/tests/ShareTest.cpp
+++ b/packages/daemon/tests/ShareTest.cpp
@@ -89,7 +89,7 @@
   std::int64_t Revision_ = 0;
 };
 
-/// A domain that uses as much of its share as it wants.
+/// A domain that uses as much of its share as its demand requires.
 struct SimulatedDomain final : DomainUsage {
   ShareAmount Demand;
   ShareAmount Used;
@@ -114,7 +114,7 @@
     Grow(Used.Held.MilliCores, Demand.Held.MilliCores, Allowed.Held.MilliCores);
     Grow(Used.Requests, Demand.Requests, Allowed.Requests);
   }
-  /// Ends the usage beyond what the domain wants.
+  /// Ends the usage beyond the demand.
   void releaseExcess() {
     Used.Held.MilliCores =
         std::min(Used.Held.MilliCores, Demand.Held.MilliCores);
--- a/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
+++ b/packages/fleet/include/cuminroad/fleet/AdviceDispatcher.h
@@ -54,7 +54,7 @@
     milliseconds Backoff{0};
     bool Registered = true;
   };
-  /// A queued request. Several daemons may be asked the same request at once.
+  /// A queued request. It may be sent to several daemons at once.
   struct PendingRequest {
     RequestAdvice Command;
     int Attempts = 0;
--- a/packages/fleet/include/cuminroad/fleet/PeerCalls.h
+++ b/packages/fleet/include/cuminroad/fleet/PeerCalls.h
@@ -30,7 +30,7 @@
   /// Asks the pool's owner how many jobs of a queue haven't started.
   void pending(const std::string &Address, const std::string &Service,
                const std::string &Queue, milliseconds Timeout, CountDone Done);
-  /// Asks the placement advisor through another daemon.
+  /// Requests placement advice through another daemon.
   void advise(const std::string &Address, const StepName &Step,
               std::span<const std::string> Vms, milliseconds Timeout,
               PlacementAdvisor::Done Done);
--- a/packages/fleet/src/AdviceDispatcher.cpp
+++ b/packages/fleet/src/AdviceDispatcher.cpp
@@ -12,10 +12,10 @@
 /// decisions, so that the round trip of one overlaps the other.
 constexpr int MaxCallsPerDaemon = 1;
 constexpr int MaxShortCallsPerDaemon = 2;
-/// Requests that take longer than this are kept off part of the daemons, since
-/// a call to the advisor waits for the calls before it: while any queue makes
-/// short decisions, one healthy daemon in ReservedDaemonDivisor serves only
-/// those.
+/// Requests that take longer than this are not sent to some of the daemons,
+/// since a call to the advisor waits for the calls before it: while any queue
+/// makes short decisions, one healthy daemon in ReservedDaemonDivisor serves
+/// only those.
 constexpr double MaxShortDecisionMs = 60;
 constexpr std::size_t ReservedDaemonDivisor = 3;
 /// A daemon whose call failed is left out for this long. The delay doubles with
@@ -23,8 +23,8 @@
 /// first request is sent.
 constexpr milliseconds MinFailedDaemonBackoff{300};
 constexpr milliseconds MaxFailedDaemonBackoff{1500};
-/// A second daemon is asked as well when the answer is this late. Shorter than
-/// the time that it takes to detect a dead daemon.
+/// A request is also sent to a second daemon when its answer is this late.
+/// Shorter than the time that it takes to detect a dead daemon.
 constexpr milliseconds HedgeDelay{150};
 constexpr int MaxAttempts = 4;
 /// Time allowed for a call beyond the advisor's decision: the network, and a
--- a/packages/fleet/src/FleetMetrics.cpp
+++ b/packages/fleet/src/FleetMetrics.cpp
@@ -47,7 +47,7 @@
       Ends_(counters(Registry_, "cuminroad_run_ends_total",
                      "Ends of runs, by how they ended.")),
       Advice_(counters(Registry_, "cuminroad_advice_total",
-                       "Questions to the placement advisor, by outcome.")),
+                       "Requests for placement advice, by outcome.")),
       PoolTasks_(gauges(Registry_, "cuminroad_pool_tasks",
                         "Tasks of an owned pool, by state.")),
       PoolVms_(gauges(Registry_, "cuminroad_pool_vms",
--- a/packages/fleet/src/PoolLease.cpp
+++ b/packages/fleet/src/PoolLease.cpp
@@ -99,7 +99,7 @@
     else
       Events_.record(EventId::RowUnreadable, Service_, Row.error().text());
   }
-  // This daemon's own write succeeded, but its answer was lost.
+  // This daemon's own write succeeded, but the response to it was lost.
   if (!Owner_.Incarnation.empty() && Owner_.Incarnation == Self_.Incarnation &&
       Owner_.Serial == 0)
     return handleAcquired(Version, AcquireSentAt_);
--- a/packages/fleet/src/RelayedStore.cpp
+++ b/packages/fleet/src/RelayedStore.cpp
@@ -25,7 +25,7 @@
 constexpr milliseconds ProbeInterval{200};
 constexpr std::size_t PeersPerProbeRound = 4;
 constexpr milliseconds ProbeTimeout{250};
-/// How long a peer counts as reaching the store after it said so.
+/// How long a peer counts as reaching the store after it reported that it does.
 constexpr milliseconds ProbeResultLifetime{700};
 constexpr int StatusOk = 200;
 /// Added to a relayed call's timeout, so that the peer's own call to the store
--- a/packages/pool/include/cuminroad/pool/PoolCommand.h
+++ b/packages/pool/include/cuminroad/pool/PoolCommand.h
@@ -35,7 +35,8 @@
   int SpeedPercent = 100;
 };
 
-/// Asks the placement advisor which of some VMs may run a step.
+/// Requests advice from the placement advisor: which of some VMs may run a
+/// step.
 struct RequestAdvice {
   StepName Step;
   std::vector<std::string> Vms;
--- a/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
+++ b/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
@@ -30,9 +30,9 @@
   JobSpec Spec;
   /// Time since the job was accepted.
   milliseconds Age{0};
-  /// Indexes of tasks that ended, and whether each of them failed.
+  /// Indices of tasks that ended, and whether each of them failed.
   std::vector<std::pair<int, bool>> Ended;
-  /// Indexes of tasks that may not run twice and whose start was persisted.
+  /// Indices of tasks that may not run twice and whose start was persisted.
   std::set<int> RecordedStarts;
   bool Cancelled = false;
 };
@@ -75,9 +75,9 @@
                                      const Capacity &MaxLimit) const = 0;
   /// Queues a job that passed checkFeasible() and is persisted.
   virtual void submit(const JobSpec &Spec) = 0;
-  /// Queues a job of an earlier owner. None of its tasks starts until every VM
-  /// listed so far is claimed or reported as empty, since they may run on any
-  /// of them.
+  /// Queues a job of an earlier owner. None of its tasks starts until
+  /// vmClaimed() or vmTasksEnded() was called for every VM listed so far, since
+  /// they may run on any of them.
   virtual void recover(const RecoveredJob &Job) = 0;
   virtual void cancel(std::string_view Job) = 0;
 
--- a/packages/scheduling/src/JobState.h
+++ b/packages/scheduling/src/JobState.h
@@ -46,7 +46,7 @@
   /// The time by which the job must start.
   TimePoint StartBy{};
   std::vector<TaskState> Tasks;
-  /// Indexes of waiting tasks.
+  /// Indices of waiting tasks.
   std::vector<int> WaitingTasks;
   /// Size of a task, raised when reports show that the declared one is too
   /// small.
--- a/packages/scheduling/src/PackingScheduler.h
+++ b/packages/scheduling/src/PackingScheduler.h
@@ -97,7 +97,8 @@
   void stopTask(TaskHandle Handle, bool Requeue, bool Checkpoint);
   void endJobIfDone(int Job);
   void markInventoryKnown(VmState &Vm);
-  /// Settles jobs of an earlier owner once the inventory of every VM is known.
+  /// Ends the recovery of an earlier owner's jobs once the inventory of every
+  /// VM is known.
   void finishRecovery();
   /// \returns what the customer may still allocate.
   Capacity headroom(const CustomerState &Customer) const;
@@ -159,7 +160,7 @@
   std::vector<CustomerState> Customers_;
   std::unordered_map<std::string, int> CustomerIndex_;
   std::vector<JobState> Jobs_;
-  /// Indexes of unused entries of Jobs_.
+  /// Indices of unused entries of Jobs_.
   std::vector<int> FreeJobSlots_;
   std::unordered_map<std::string, int> JobIndex_;
   std::map<TaskAttempt, UnknownTask> UnknownTasks_;
--- a/packages/scheduling/src/PlacementPolicy.h
+++ b/packages/scheduling/src/PlacementPolicy.h
@@ -14,7 +14,7 @@
 public:
   virtual ~PlacementPolicy() = default;
   /// \param Vms all VMs.
-  /// \param Candidates indexes of the VMs that fit the task; never empty.
+  /// \param Candidates indices of the VMs that fit the task; never empty.
   /// \returns the index of the best one.
   virtual int choose(std::span<const VmState> Vms, const JobState &Job,
                      std::span<const int> Candidates) const = 0;
--- a/packages/scheduling/src/VmState.h
+++ b/packages/scheduling/src/VmState.h
@@ -10,7 +10,7 @@
 
 namespace cuminroad {
 
-/// Indexes of a task in the scheduler's tables.
+/// Indices of a task in the scheduler's tables.
 struct TaskHandle {
   int Job = -1;
   /// Index of the task in its job.
