--- a/packages/daemon/include/cuminroad/daemon/RequestFrontend.h
+++ b/packages/daemon/include/cuminroad/daemon/RequestFrontend.h
@@ -14,7 +14,7 @@
 #include "cuminroad/contract/Settings.h"
 #include "cuminroad/daemon/AdmissionController.h"
 #include "cuminroad/daemon/ContractRegistry.h"
-#include "cuminroad/daemon/HttpReplies.h"
+#include "cuminroad/daemon/HttpResponses.h"
 #include "cuminroad/daemon/IdempotencyCache.h"
 #include "cuminroad/daemon/IdempotencyKeyStore.h"
 #include "cuminroad/daemon/Identity.h"
@@ -41,11 +41,11 @@
 
 /// Service requests since the start of the process by outcome, and retries.
 struct RequestOutcomeCounts {
-  /// Requests that got a backend server's response.
+  /// Requests answered whole.
   std::uint64_t Done = 0;
   /// Requests that certainly did not run.
   std::uint64_t NotRun = 0;
-  /// Requests that may have run and got no response.
+  /// Requests that may have run without an answer.
   std::uint64_t Unknown = 0;
   /// Attempts after the first one of a request.
   std::uint64_t Retries = 0;
--- a/packages/fleet/tests/VmLinkTest.cpp
+++ b/packages/fleet/tests/VmLinkTest.cpp
@@ -111,7 +111,7 @@
   // The VM ended the run itself, before the link reported the lease as expired.
   const RunEvent &End = Vms.RunHistory.back();
   BOOST_REQUIRE(!End.IsStart);
-  BOOST_CHECK(End.Outcome == RunOutcome::LeaseLapsed);
+  BOOST_CHECK(End.Outcome == RunOutcome::LeaseExpired);
   BOOST_CHECK(End.Time <= *LeaseExpiredAt);
 }
 
--- a/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
+++ b/packages/scheduling/include/cuminroad/scheduling/Scheduler.h
@@ -30,9 +30,9 @@
   JobSpec Spec;
   /// Time since the job was accepted.
   milliseconds Age{0};
-  /// Indexes of tasks that ended, and whether each of them failed.
+  /// Indices of tasks that ended, and whether each of them failed.
   std::vector<std::pair<int, bool>> Ended;
-  /// Indexes of tasks that may not run twice and whose start was persisted.
+  /// Indices of tasks that may not run twice and whose start was persisted.
   std::set<int> RecordedStarts;
   bool Cancelled = false;
 };
@@ -60,7 +60,7 @@
   /// Reports that certainly no task runs on the VM any more: either it is
   /// \p Permanently gone, or the leases of all its tasks have lapsed and it
   /// must be claimed again before it is used.
-  virtual void vmEmptied(std::string_view Vm, bool Permanently) = 0;
+  virtual void vmTasksEnded(std::string_view Vm, bool Permanently) = 0;
 
   /// Sets the customer's limit in this failure domain; running tasks continue.
   virtual void setLimit(std::string_view Customer,
@@ -75,9 +75,9 @@
                                      const Capacity &MaxLimit) const = 0;
   /// Queues a job that passed checkFeasible() and is persisted.
   virtual void submit(const JobSpec &Spec) = 0;
-  /// Queues a job of an earlier owner. None of its tasks starts until every VM
-  /// listed so far is claimed or reported as empty, since they may run on any
-  /// of them.
+  /// Queues a job of an earlier owner. None of its tasks starts until
+  /// vmClaimed() or vmTasksEnded() was called for every VM listed so far, since
+  /// they may run on any of them.
   virtual void recover(const RecoveredJob &Job) = 0;
   virtual void cancel(std::string_view Job) = 0;
 
--- a/packages/scheduling/src/PackingScheduler.h
+++ b/packages/scheduling/src/PackingScheduler.h
@@ -29,7 +29,7 @@
   void vmClaimed(std::string_view Vm,
                  std::span<const InventoryTask> Inventory) override;
   void vmLeaving(std::string_view Vm) override;
-  void vmEmptied(std::string_view Vm, bool Permanently) override;
+  void vmTasksEnded(std::string_view Vm, bool Permanently) override;
   void setLimit(std::string_view Customer, const ContractTerms &Terms) override;
   void removeLimit(std::string_view Customer) override;
   Result<void> checkFeasible(const JobSpec &Spec,
@@ -97,7 +97,8 @@
   void stopTask(TaskHandle Handle, bool Requeue, bool Checkpoint);
   void endJobIfDone(int Job);
   void markInventoryKnown(VmState &Vm);
-  /// Settles jobs of an earlier owner once the inventory of every VM is known.
+  /// Ends the recovery of an earlier owner's jobs once the inventory of every
+  /// VM is known.
   void finishRecovery();
   /// \returns what the customer may still allocate.
   Capacity headroom(const CustomerState &Customer) const;
@@ -159,7 +160,7 @@
   std::vector<CustomerState> Customers_;
   std::unordered_map<std::string, int> CustomerIndex_;
   std::vector<JobState> Jobs_;
-  /// Indexes of unused entries of Jobs_.
+  /// Indices of unused entries of Jobs_.
   std::vector<int> FreeJobSlots_;
   std::unordered_map<std::string, int> JobIndex_;
   std::map<TaskAttempt, UnknownTask> UnknownTasks_;
--- a/tests/fakes/src/FakeVms.cpp
+++ b/tests/fakes/src/FakeVms.cpp
@@ -27,7 +27,7 @@
   VmState &Vm = Vms_[Id];
   for (const auto &[Run, EndsAt] : Vm.Running)
     RunHistory.push_back(RunEvent{ControlLoop_.MonotonicClock.now(), Id, Run,
-                                  false, RunOutcome::LeaseLapsed});
+                                  false, RunOutcome::LeaseExpired});
   Vm = VmState{};
   Vm.Incarnation = Incarnation;
 }
@@ -72,7 +72,7 @@
     return;
   const auto Running = Vm.Running;
   for (const auto &[Run, EndsAt] : Running)
-    endRun(Id, Run, RunOutcome::LeaseLapsed);
+    endRun(Id, Run, RunOutcome::LeaseExpired);
   Vm.EndTimes.clear();
 }
 
@@ -192,8 +192,8 @@
       std::move(Done));
 }
 
-void FakeVmCalls::pace(const VmTarget &, const TaskRun &, int, milliseconds,
-                       OrderDone Done) {
+void FakeVmCalls::throttle(const VmTarget &, const TaskRun &, int, milliseconds,
+                           OrderDone Done) {
   ControlLoop_.after(Latency, [Done] { Done(OrderAnswer{}); });
 }
 
