--- a/packages/base/include/cuminroad/base/LogicalClock.h
+++ b/packages/base/include/cuminroad/base/HybridLogicalClock.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_BASE_LOGICALCLOCK_H
-#define CUMINROAD_BASE_LOGICALCLOCK_H
+#ifndef CUMINROAD_BASE_HYBRIDLOGICALCLOCK_H
+#define CUMINROAD_BASE_HYBRIDLOGICALCLOCK_H
 
 #include <atomic>
 #include <cstdint>
@@ -9,7 +9,7 @@
 /// Hybrid logical clock: wall-clock microseconds that never fall behind a
 /// stamp seen from another process, so that sorting by stamp keeps every cause
 /// before its effects. Safe to use from any thread.
-class LogicalClock {
+class HybridLogicalClock {
 public:
   /// \returns a stamp larger than all that were returned or observed before.
   std::uint64_t next();
--- a/packages/base/include/cuminroad/base/ObjectReader.h
+++ b/packages/base/include/cuminroad/base/JsonObjectReader.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_BASE_OBJECTREADER_H
-#define CUMINROAD_BASE_OBJECTREADER_H
+#ifndef CUMINROAD_BASE_JSONOBJECTREADER_H
+#define CUMINROAD_BASE_JSONOBJECTREADER_H
 
 #include <cstdint>
 #include <optional>
@@ -20,20 +20,20 @@
   std::int64_t High;
 };
 
-/// Reads the fields of one JSON object and gathers every fault with its path,
+/// Reads the fields of one JSON object and gathers every error with its path,
 /// so that all errors of an input are reported at once. The object and the
 /// list of faults must outlive the reader.
-class ObjectReader {
+class JsonObjectReader {
 public:
   /// \param Path where the object stands, "" for the whole input.
-  ObjectReader(const nlohmann::json &Object, std::string Path,
-               std::vector<Error> &Faults);
+  JsonObjectReader(const nlohmann::json &Object, std::string Path,
+                   std::vector<Error> &Errors);
 
-  /// \returns the required text, or "" with a fault noted. A required text
+  /// \returns the required text, or "" with an error recorded. A required text
   /// may not be empty.
   std::string text(std::string_view Name);
   std::string text(std::string_view Name, std::string_view Default);
-  /// \returns the required number, or the low end with a fault noted.
+  /// \returns the required number, or the low end with an error recorded.
   std::int64_t integer(std::string_view Name, IntegerRange Range);
   std::int64_t integer(std::string_view Name, IntegerRange Range,
                        std::int64_t Default);
@@ -43,15 +43,15 @@
   const nlohmann::json *member(std::string_view Name);
   /// \returns the path of member \p Name.
   std::string pathOf(std::string_view Name) const;
-  void fault(ErrorCode Code, std::string_view Name, std::string_view Why);
-  /// Notes a fault for each field that was not asked for.
+  void addError(ErrorCode Code, std::string_view Name, std::string_view Reason);
+  /// Notes an error for each field that was not asked for.
   void finish();
 
 private:
   const nlohmann::json &Object_;
   std::string Path_;
-  std::vector<Error> &Faults_;
-  std::set<std::string, std::less<>> Known_;
+  std::vector<Error> &Errors_;
+  std::set<std::string, std::less<>> ReadNames_;
 };
 
 /// Parses JSON text; with \p Comments, // and /* */ comments are allowed.
@@ -59,7 +59,7 @@
 Result<nlohmann::json> parseJson(std::string_view Text, bool Comments);
 
 /// \returns all faults as one failure of the first one's type.
-Error joinFaults(const std::vector<Error> &Faults);
+Error joinErrors(const std::vector<Error> &Errors);
 
 } // namespace cuminroad
 
--- a/packages/base/include/cuminroad/base/LineBudget.h
+++ b/packages/base/include/cuminroad/base/LogRateLimiter.h
@@ -1,5 +1,5 @@
-#ifndef CUMINROAD_BASE_LINEBUDGET_H
-#define CUMINROAD_BASE_LINEBUDGET_H
+#ifndef CUMINROAD_BASE_LOGRATELIMITER_H
+#define CUMINROAD_BASE_LOGRATELIMITER_H
 
 #include <cstdint>
 #include <map>
@@ -12,19 +12,19 @@
 /// Bounds the log lines of each kind of event in a second, so that load costs
 /// lines and not service. Warnings and errors have a larger share: decisions
 /// that refuse, stop or lose something are kept longest.
-class LineBudget {
+class LogRateLimiter {
 public:
   /// \returns whether one more line of this kind may be written now.
-  bool take(EventId Id, TimePoint Now);
+  bool tryAcquire(EventId Id, TimePoint Now);
   /// \returns the lines left out since the last call.
-  std::uint64_t takeDropped();
+  std::uint64_t takeDropCount();
   /// Counts a line that could not be written.
-  void drop() { ++Dropped_; }
+  void recordDrop() { ++DropCount_; }
 
 private:
-  TimePoint SecondBegan_{};
-  std::map<EventId, int> Used_;
-  std::uint64_t Dropped_ = 0;
+  TimePoint WindowStart_{};
+  std::map<EventId, int> LinesInWindow_;
+  std::uint64_t DropCount_ = 0;
 };
 
 } // namespace cuminroad
--- a/packages/base/include/cuminroad/base/MessagePack.h
+++ b/packages/base/include/cuminroad/base/MessagePack.h
@@ -19,16 +19,16 @@
   return Bytes;
 }
 
-/// \param Read makes a value of the unpacked message; it may throw
+/// \param Decode makes a value of the unpacked message; it may throw
 /// nlohmann::json::exception, as json's checked access does, or return a
 /// Result.
-/// \returns what \p Read made, or MalformedInput.
+/// \returns what \p Decode made, or MalformedInput.
 template <typename T, typename F>
-Result<T> unpackMessage(std::string_view Bytes, F Read) {
+Result<T> unpackMessage(std::string_view Bytes, F Decode) {
   try {
-    return Read(nlohmann::json::from_msgpack(Bytes));
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::MalformedInput, Fault.what());
+    return Decode(nlohmann::json::from_msgpack(Bytes));
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::MalformedInput, Exception.what());
   }
 }
 
--- a/packages/base/src/Error.cpp
+++ b/packages/base/src/Error.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::array Table{
+constexpr std::array ErrorRows{
     ErrorInfo{ErrorCode::MalformedInput, "malformed_input",
               "the input is not well-formed"},
     ErrorInfo{ErrorCode::UnknownField, "unknown_field",
@@ -82,13 +82,13 @@
 
 } // namespace
 
-std::span<const ErrorInfo> errorTable() { return Table; }
+std::span<const ErrorInfo> errorTable() { return ErrorRows; }
 
 const ErrorInfo &errorInfo(ErrorCode Code) {
   const auto *Row =
-      std::find_if(Table.begin(), Table.end(),
+      std::find_if(ErrorRows.begin(), ErrorRows.end(),
                    [Code](const ErrorInfo &Info) { return Info.Code == Code; });
-  return Row == Table.end() ? Table.front() : *Row;
+  return Row == ErrorRows.end() ? ErrorRows.front() : *Row;
 }
 
 std::string Error::text() const {
--- a/packages/base/src/EventId.cpp
+++ b/packages/base/src/EventId.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::array Catalogue{
+constexpr std::array EventRows{
     EventInfo{EventId::DaemonStarted, Severity::Info, "daemon_started",
               "The process read its settings and opened its ports."},
     EventInfo{EventId::DaemonReady, Severity::Info, "daemon_ready",
@@ -75,12 +75,12 @@
               "All tasks of the job ended."},
     EventInfo{EventId::JobCancelled, Severity::Info, "job_cancelled",
               "The caller cancelled the job."},
-    EventInfo{EventId::JobReadBack, Severity::Info, "job_known",
+    EventInfo{EventId::JobKnown, Severity::Info, "job_known",
               "A job came in again that had been accepted before."},
     EventInfo{
         EventId::JobOutcomeUnknown, Severity::Warning, "job_outcome_unknown",
         "The caller was told that it is unknown whether the job was accepted."},
-    EventInfo{EventId::JobLoaded, Severity::Info, "jobs_loaded",
+    EventInfo{EventId::JobsLoaded, Severity::Info, "jobs_loaded",
               "A new owner read the jobs of its pool."},
     EventInfo{EventId::JobStage, Severity::Info, "job_stage",
               "The job reached a final stage."},
@@ -130,13 +130,13 @@
 
 } // namespace
 
-std::span<const EventInfo> eventCatalogue() { return Catalogue; }
+std::span<const EventInfo> eventCatalogue() { return EventRows; }
 
 const EventInfo &eventInfo(EventId Id) {
   const auto *Row =
-      std::find_if(Catalogue.begin(), Catalogue.end(),
+      std::find_if(EventRows.begin(), EventRows.end(),
                    [Id](const EventInfo &Info) { return Info.Id == Id; });
-  return Row == Catalogue.end() ? Catalogue.front() : *Row;
+  return Row == EventRows.end() ? EventRows.front() : *Row;
 }
 
 std::string_view severityName(Severity Level) {
--- a/packages/base/src/EventLog.cpp
+++ b/packages/base/src/EventLog.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 /// How often lines that were left out are counted in a line.
-constexpr seconds DropReport{1};
+constexpr seconds DropReportInterval{1};
 
 } // namespace
 
-EventLog::EventLog(std::string Process, std::size_t Capacity, std::FILE *Out)
-    : Process_(std::move(Process)), Capacity_(Capacity), Out_(Out) {}
+EventLog::EventLog(std::string Process, std::size_t Capacity, std::FILE *Output)
+    : Process_(std::move(Process)), Capacity_(Capacity), Output_(Output) {}
 
 std::string EventLog::format(EventId Id, std::uint64_t Stamp,
                              std::string_view Subject,
@@ -36,13 +36,13 @@
 
 void EventLog::record(EventId Id, std::string_view Subject,
                       std::string_view Detail) {
-  const std::uint64_t Stamp = Clock_.next();
+  const std::uint64_t Stamp = LogicalClock_.next();
   const std::lock_guard Lock(Mutex_);
-  if (Out_ != nullptr) {
+  if (Output_ != nullptr) {
     const TimePoint Now = std::chrono::steady_clock::now();
-    if (Budget_.take(Id, Now))
-      write(format(Id, Stamp, Subject, Detail));
-    tellDrops(Now);
+    if (RateLimiter_.tryAcquire(Id, Now))
+      writeLine(format(Id, Stamp, Subject, Detail));
+    reportDroppedLines(Now);
   }
   Events_.push_back(
       Event{Stamp, Id, std::string(Subject), std::string(Detail)});
@@ -50,31 +50,32 @@
     Events_.pop_front();
 }
 
-void EventLog::write(const std::string &Line) {
+void EventLog::writeLine(const std::string &Line) {
   // A pipe that is ready takes a line of this length whole, without blocking.
-  pollfd Ready{fileno(Out_), POLLOUT, 0};
-  const bool Takes = Line.size() <= PIPE_BUF && poll(&Ready, 1, 0) == 1 &&
-                     (Ready.revents & POLLOUT) != 0;
-  if (!Takes || ::write(Ready.fd, Line.data(), Line.size()) < 0)
-    Budget_.drop();
+  pollfd Descriptor{fileno(Output_), POLLOUT, 0};
+  const bool Writable = Line.size() <= PIPE_BUF &&
+                        poll(&Descriptor, 1, 0) == 1 &&
+                        (Descriptor.revents & POLLOUT) != 0;
+  if (!Writable || ::write(Descriptor.fd, Line.data(), Line.size()) < 0)
+    RateLimiter_.recordDrop();
 }
 
-void EventLog::tellDrops(TimePoint Now) {
-  if (Now - DropsTold_ < DropReport)
+void EventLog::reportDroppedLines(TimePoint Now) {
+  if (Now - LastDropReport_ < DropReportInterval)
     return;
-  DropsTold_ = Now;
-  if (const std::uint64_t Dropped = Budget_.takeDropped())
-    write(format(EventId::LinesDropped, Clock_.next(), "log",
-                 fmt::to_string(Dropped)));
+  LastDropReport_ = Now;
+  if (const std::uint64_t Dropped = RateLimiter_.takeDropCount())
+    writeLine(format(EventId::LinesDropped, LogicalClock_.next(), "log",
+                     fmt::to_string(Dropped)));
 }
 
 std::vector<Event> EventLog::since(std::uint64_t After) const {
   const std::lock_guard Lock(Mutex_);
-  std::vector<Event> Out;
-  for (const Event &Entry : Events_)
-    if (Entry.Stamp > After)
-      Out.push_back(Entry);
-  return Out;
+  std::vector<Event> Newer;
+  for (const Event &Candidate : Events_)
+    if (Candidate.Stamp > After)
+      Newer.push_back(Candidate);
+  return Newer;
 }
 
 } // namespace cuminroad
--- /dev/null
+++ b/packages/base/src/LogRateLimiter.cpp
@@ -0,0 +1,33 @@
+#include "cuminroad/base/LogRateLimiter.h"
+
+#include <utility>
+
+namespace cuminroad {
+
+namespace {
+
+/// Lines of one kind in a second. An owner at 150 starts a second, the peak of
+/// two years, writes some 300 lines of starts and ends.
+constexpr int MaxInfoLinesPerSecond = 400;
+constexpr int MaxWarningLinesPerSecond = 800;
+
+} // namespace
+
+bool LogRateLimiter::tryAcquire(EventId Id, TimePoint Now) {
+  if (Now - WindowStart_ >= seconds(1)) {
+    WindowStart_ = Now;
+    LinesInWindow_.clear();
+  }
+  const bool IsWarning = eventInfo(Id).Level != Severity::Info;
+  if (++LinesInWindow_[Id] <=
+      (IsWarning ? MaxWarningLinesPerSecond : MaxInfoLinesPerSecond))
+    return true;
+  recordDrop();
+  return false;
+}
+
+std::uint64_t LogRateLimiter::takeDropCount() {
+  return std::exchange(DropCount_, 0);
+}
+
+} // namespace cuminroad
--- a/packages/base/tests/EventCatalogueTest.cpp
+++ b/packages/base/tests/EventCatalogueTest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::string readDoc(const char *Name) {
+std::string readDocPage(const char *Name) {
   std::ifstream File(std::string(CUMINROAD_SOURCE_DIR "/docs/") + Name);
   std::stringstream Text;
   Text << File.rdbuf();
@@ -30,8 +30,8 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(everyEventIsInTheCatalogue) {
-  const std::string Text = readDoc("EVENTS.md");
+BOOST_AUTO_TEST_CASE(docPageListsEveryEvent) {
+  const std::string Text = readDocPage("EVENTS.md");
   for (const EventInfo &Info : eventCatalogue()) {
     const std::string Row =
         fmt::format("| {} | {} | {} | {} |", static_cast<int>(Info.Id),
@@ -41,7 +41,7 @@
   BOOST_CHECK_EQUAL(countRows(Text), eventCatalogue().size());
 }
 
-BOOST_AUTO_TEST_CASE(eventNumbersRise) {
+BOOST_AUTO_TEST_CASE(eventNumbersIncrease) {
   int Last = 0;
   for (const EventInfo &Info : eventCatalogue()) {
     BOOST_CHECK_GT(static_cast<int>(Info.Id), Last);
@@ -49,8 +49,8 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(everyErrorIsInTheTable) {
-  const std::string Text = readDoc("ERRORS.md");
+BOOST_AUTO_TEST_CASE(docPageListsEveryError) {
+  const std::string Text = readDocPage("ERRORS.md");
   for (const ErrorInfo &Info : errorTable()) {
     const std::string Row =
         fmt::format("| {} | {} | {} |", static_cast<int>(Info.Code), Info.Name,
--- a/packages/base/tests/EventLogTest.cpp
+++ b/packages/base/tests/EventLogTest.cpp
@@ -15,50 +15,51 @@
 struct Pipe {
   Pipe() {
     BOOST_REQUIRE_EQUAL(pipe(Ends), 0);
-    Out = fdopen(Ends[1], "w");
+    Writer = fdopen(Ends[1], "w");
     fcntl(Ends[0], F_SETFL, O_NONBLOCK);
   }
   ~Pipe() {
-    fclose(Out);
+    fclose(Writer);
     close(Ends[0]);
   }
   std::size_t readLines() const {
     std::size_t Lines = 0;
     char Buffer[4096];
-    for (ssize_t Got = 0; (Got = read(Ends[0], Buffer, sizeof Buffer)) > 0;)
-      for (ssize_t At = 0; At < Got; ++At)
-        Lines += Buffer[At] == '\n';
+    for (ssize_t ByteCount = 0;
+         (ByteCount = read(Ends[0], Buffer, sizeof Buffer)) > 0;)
+      for (ssize_t Index = 0; Index < ByteCount; ++Index)
+        Lines += Buffer[Index] == '\n';
     return Lines;
   }
   int Ends[2] = {-1, -1};
-  std::FILE *Out = nullptr;
+  std::FILE *Writer = nullptr;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(stoppedReaderCostsLinesAndNotService) {
-  const Pipe To;
-  EventLog Log("p", 10, To.Out);
+BOOST_AUTO_TEST_CASE(stalledReaderDoesNotBlockTheLog) {
+  const Pipe LogPipe;
+  EventLog Log("p", 10, LogPipe.Writer);
   // Far more than a pipe holds: this would block without end.
   const std::string Detail(500, 'x');
-  for (int Each = 0; Each < 300; ++Each)
+  for (int Round = 0; Round < 300; ++Round)
     for (const EventId Id : {EventId::RunStarted, EventId::RunEnded,
                              EventId::JobAccepted, EventId::RunLost})
       Log.record(Id, "subject", Detail);
-  BOOST_CHECK_GT(To.readLines(), 10);
+  BOOST_CHECK_GT(LogPipe.readLines(), 10);
 }
 
-BOOST_AUTO_TEST_CASE(linesOfAKindAreBoundedInASecond) {
-  LineBudget Budget;
+BOOST_AUTO_TEST_CASE(limitsLinesPerEventAndSecond) {
+  LogRateLimiter Limiter;
   const TimePoint Now = TimePoint(seconds(100));
-  int Info = 0;
-  int Warnings = 0;
-  for (int Each = 0; Each < 4000; ++Each) {
-    Info += Budget.take(EventId::RunStarted, Now);
-    Warnings += Budget.take(EventId::RunLost, Now);
+  int InfoLines = 0;
+  int WarningLines = 0;
+  for (int Round = 0; Round < 4000; ++Round) {
+    InfoLines += Limiter.tryAcquire(EventId::RunStarted, Now);
+    WarningLines += Limiter.tryAcquire(EventId::RunLost, Now);
   }
-  BOOST_CHECK_LE(Info, 400);
-  BOOST_CHECK_GT(Warnings, Info);
-  BOOST_CHECK_EQUAL(Budget.takeDropped(), 8000 - Info - Warnings);
-  BOOST_CHECK(Budget.take(EventId::RunStarted, Now + seconds(1)));
+  BOOST_CHECK_LE(InfoLines, 400);
+  BOOST_CHECK_GT(WarningLines, InfoLines);
+  BOOST_CHECK_EQUAL(Limiter.takeDropCount(), 8000 - InfoLines - WarningLines);
+  BOOST_CHECK(Limiter.tryAcquire(EventId::RunStarted, Now + seconds(1)));
 }
--- a/packages/contract/src/ContractRecord.cpp
+++ b/packages/contract/src/ContractRecord.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
@@ -44,7 +44,7 @@
 
 static Result<PendingChange> parsePending(const nlohmann::json &Input) {
   std::vector<Error> Faults;
-  ObjectReader Reader(Input, "pending", Faults);
+  JsonObjectReader Reader(Input, "pending", Faults);
   PendingChange Change;
   Change.ChangeId = Reader.text("change_id");
   Change.Operator = Reader.text("operator", "");
@@ -52,14 +52,14 @@
   if (!Terms)
     return tl::unexpected(Terms.error());
   if (!Faults.empty())
-    return tl::unexpected(joinFaults(Faults));
+    return tl::unexpected(joinErrors(Faults));
   Change.Terms = *Terms;
   return Change;
 }
 
 Result<ContractRecord> parseContractRecord(const nlohmann::json &Input) {
   std::vector<Error> Faults;
-  ObjectReader Reader(Input, "", Faults);
+  JsonObjectReader Reader(Input, "", Faults);
   ContractRecord Record;
   Record.Customer = Reader.text("customer");
   Record.Version = Reader.integer("version", VersionRange);
@@ -75,13 +75,13 @@
   }
   if (const nlohmann::json *History = Reader.member("history"))
     for (const nlohmann::json &Entry : *History) {
-      ObjectReader Row(Entry, "history", Faults);
+      JsonObjectReader Row(Entry, "history", Faults);
       Record.History.push_back(
           AcceptedChange{Row.integer("version", VersionRange),
                          Row.text("change_id"), Row.text("operator", "")});
     }
   if (!Faults.empty())
-    return tl::unexpected(joinFaults(Faults));
+    return tl::unexpected(joinErrors(Faults));
   return Record;
 }
 
--- a/packages/contract/src/ContractTerms.cpp
+++ b/packages/contract/src/ContractTerms.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
@@ -20,7 +20,7 @@
 
 Result<ContractTerms> parseContractTerms(const nlohmann::json &Input) {
   std::vector<Error> Faults;
-  ObjectReader Reader(Input, "", Faults);
+  JsonObjectReader Reader(Input, "", Faults);
   ContractTerms Terms;
   Terms.MaxHeld.MilliCores = Reader.integer("milli_cores", MilliCoresRange);
   Terms.MaxHeld.MemoryMb = Reader.integer("memory_mb", MemoryMbRange);
@@ -35,7 +35,7 @@
   Terms.NeverRepeat = Reader.texts("never_repeat");
   Reader.finish();
   if (!Faults.empty())
-    return tl::unexpected(joinFaults(Faults));
+    return tl::unexpected(joinErrors(Faults));
   return Terms;
 }
 
--- a/packages/contract/src/Settings.cpp
+++ b/packages/contract/src/Settings.cpp
@@ -5,7 +5,7 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
@@ -17,14 +17,14 @@
 constexpr IntegerRange EventsKeptRange{100, 1'000'000};
 constexpr std::size_t MinTokenLength = 8;
 
-Endpoint readEndpoint(ObjectReader &Parent, std::string_view Name,
+Endpoint readEndpoint(JsonObjectReader &Parent, std::string_view Name,
                       std::vector<Error> &Faults) {
   const nlohmann::json *Value = Parent.member(Name);
   if (Value == nullptr) {
-    Parent.fault(ErrorCode::MissingField, Name, "is required");
+    Parent.addError(ErrorCode::MissingField, Name, "is required");
     return {};
   }
-  ObjectReader Reader(*Value, Parent.pathOf(Name), Faults);
+  JsonObjectReader Reader(*Value, Parent.pathOf(Name), Faults);
   Endpoint Out;
   Out.Address = Reader.text("address");
   Out.Port = static_cast<int>(Reader.integer("port", PortRange));
@@ -32,17 +32,17 @@
   return Out;
 }
 
-void readDuration(ObjectReader &Reader, std::string_view Name,
+void readDuration(JsonObjectReader &Reader, std::string_view Name,
                   milliseconds &Value) {
   Value = milliseconds(Reader.integer(Name, DurationMsRange, Value.count()));
 }
 
-Timings readTimings(ObjectReader &Parent, std::vector<Error> &Faults) {
+Timings readTimings(JsonObjectReader &Parent, std::vector<Error> &Faults) {
   Timings Out;
   const nlohmann::json *Value = Parent.member("timings_ms");
   if (Value == nullptr)
     return Out;
-  ObjectReader Reader(*Value, Parent.pathOf("timings_ms"), Faults);
+  JsonObjectReader Reader(*Value, Parent.pathOf("timings_ms"), Faults);
   readDuration(Reader, "owner_lease", Out.OwnerLease);
   readDuration(Reader, "owner_renewal", Out.OwnerRenewal);
   readDuration(Reader, "owner_poll", Out.OwnerPoll);
@@ -58,32 +58,32 @@
   // A lease that is renewed less than twice in its life lapses at the first
   // lost message.
   if (Out.OwnerLease < 2 * Out.OwnerRenewal)
-    Reader.fault(ErrorCode::ValueOutOfRange, "owner_lease",
-                 "must be at least twice owner_renewal");
+    Reader.addError(ErrorCode::ValueOutOfRange, "owner_lease",
+                    "must be at least twice owner_renewal");
   if (Out.TaskLease < 2 * Out.TaskRenewal)
-    Reader.fault(ErrorCode::ValueOutOfRange, "task_lease",
-                 "must be at least twice task_renewal");
+    Reader.addError(ErrorCode::ValueOutOfRange, "task_lease",
+                    "must be at least twice task_renewal");
   if (Out.GrantLease < 2 * Out.GrantRenewal)
-    Reader.fault(ErrorCode::ValueOutOfRange, "grant_lease",
-                 "must be at least twice grant_renewal");
+    Reader.addError(ErrorCode::ValueOutOfRange, "grant_lease",
+                    "must be at least twice grant_renewal");
   return Out;
 }
 
-void readAddressMap(ObjectReader &Parent, Settings &Out) {
+void readAddressMap(JsonObjectReader &Parent, Settings &Out) {
   const nlohmann::json *Value = Parent.member("address_map");
   if (Value == nullptr)
     return;
   if (!Value->is_object()) {
-    Parent.fault(ErrorCode::ValueOutOfRange, "address_map",
-                 "must be an object");
+    Parent.addError(ErrorCode::ValueOutOfRange, "address_map",
+                    "must be an object");
     return;
   }
   for (const auto &[From, To] : Value->items()) {
     if (To.is_string())
       Out.AddressMap[From] = To.get<std::string>();
     else
-      Parent.fault(ErrorCode::ValueOutOfRange, "address_map." + From,
-                   "must be \"address:port\"");
+      Parent.addError(ErrorCode::ValueOutOfRange, "address_map." + From,
+                      "must be \"address:port\"");
   }
 }
 
@@ -111,21 +111,21 @@
   if (!Input)
     return tl::unexpected(std::vector{Input.error()});
   std::vector<Error> Faults;
-  ObjectReader Reader(*Input, "", Faults);
+  JsonObjectReader Reader(*Input, "", Faults);
   Settings Out;
   Out.Name = Reader.text("name");
   Out.Domain = Reader.text("failure_domain");
   Out.Domains = Reader.texts("all_failure_domains");
   if (std::count(Out.Domains.begin(), Out.Domains.end(), Out.Domain) != 1)
-    Reader.fault(ErrorCode::ValueOutOfRange, "all_failure_domains",
-                 "must have failure_domain as one of its entries");
+    Reader.addError(ErrorCode::ValueOutOfRange, "all_failure_domains",
+                    "must have failure_domain as one of its entries");
   Out.Http = readEndpoint(Reader, "http", Faults);
   Out.Peer = readEndpoint(Reader, "peer", Faults);
   Out.PlatformUrl = Reader.text("platform_url");
   Out.OperatorToken = Reader.text("operator_token");
   if (!Out.OperatorToken.empty() && Out.OperatorToken.size() < MinTokenLength)
-    Reader.fault(ErrorCode::ValueOutOfRange, "operator_token",
-                 "must have at least 8 characters");
+    Reader.addError(ErrorCode::ValueOutOfRange, "operator_token",
+                    "must have at least 8 characters");
   readAddressMap(Reader, Out);
   Out.MaxBodyBytes =
       Reader.integer("max_body_bytes", BodyBytesRange, Out.MaxBodyBytes);
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -6,7 +6,7 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 #include "cuminroad/daemon/JobRow.h"
 
 namespace cuminroad {
@@ -302,14 +302,14 @@
   if (!Body)
     return Respond(errorReply(Body.error()));
   std::vector<Error> Faults;
-  ObjectReader Reader(*Body, "", Faults);
+  JsonObjectReader Reader(*Body, "", Faults);
   ContractChange Change;
   Change.Customer = Customer;
   Change.ExpectedVersion = Reader.integer("expected_version", VersionRange);
   Change.Operator = Reader.text("operator", "");
   if (!validCustomer(Customer))
-    Reader.fault(ErrorCode::ValueOutOfRange, "customer",
-                 "must be letters, digits, - and _");
+    Reader.addError(ErrorCode::ValueOutOfRange, "customer",
+                    "must be letters, digits, - and _");
   if (Request.Method == "PUT") {
     const nlohmann::json *Terms = Reader.member("terms");
     const auto Parsed = parseContractTerms(
@@ -321,7 +321,7 @@
   }
   Reader.finish();
   if (!Faults.empty())
-    return Respond(errorReply(joinFaults(Faults)));
+    return Respond(errorReply(joinErrors(Faults)));
   Parts_.Keeper.propose(Change, [Respond](Result<ChangeResult> Got) {
     if (!Got)
       return Respond(errorReply(Got.error()));
--- a/packages/daemon/src/VmSession.cpp
+++ b/packages/daemon/src/VmSession.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
--- a/packages/fleet/src/JobDoor.cpp
+++ b/packages/fleet/src/JobDoor.cpp
@@ -105,7 +105,7 @@
   if (Outcome) {
     // A conflict means that the job is there already: it remains one job.
     Context_.Events.record(Outcome->committed() ? EventId::JobAccepted
-                                                : EventId::JobReadBack,
+                                                : EventId::JobKnown,
                            Job, describe(Open->Request));
     return finish(*Open, SubmitReply{SubmitOutcome::Accepted});
   }
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -264,7 +264,7 @@
     applyRequest(std::move(Request));
   for (const std::string &Job : ReadCancels_)
     Scheduler_->cancelJob(Job);
-  Context_.Events.record(EventId::JobLoaded, Term_.Service,
+  Context_.Events.record(EventId::JobsLoaded, Term_.Service,
                          fmt::format("epoch {} jobs {} with progress {}",
                                      Term_.Epoch, ReadRequests_.size(),
                                      ReadProgress_.size()));
--- a/packages/scheduling/src/JobSpec.cpp
+++ b/packages/scheduling/src/JobSpec.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
@@ -21,14 +21,14 @@
                                std::pair{JobKind::Batch, "batch"},
                                std::pair{JobKind::Gang, "gang"}};
 
-JobKind readKind(ObjectReader &Reader) {
+JobKind readKind(JsonObjectReader &Reader) {
   const std::string Name = Reader.text("kind");
   for (const auto &[Kind, Text] : KindNames)
     if (Name == Text)
       return Kind;
   if (!Name.empty())
-    Reader.fault(ErrorCode::ValueOutOfRange, "kind",
-                 "must be service, batch or gang");
+    Reader.addError(ErrorCode::ValueOutOfRange, "kind",
+                    "must be service, batch or gang");
   return JobKind::Batch;
 }
 
@@ -43,11 +43,11 @@
 
 Result<JobSpec> parseJobSpec(const nlohmann::json &Input) {
   std::vector<Error> Faults;
-  ObjectReader Reader(Input, "", Faults);
+  JsonObjectReader Reader(Input, "", Faults);
   JobSpec Spec;
   Spec.Id = Reader.text("id", "");
   if (Spec.Id.size() > MaxIdLength)
-    Reader.fault(ErrorCode::ValueOutOfRange, "id", "is too long");
+    Reader.addError(ErrorCode::ValueOutOfRange, "id", "is too long");
   Spec.Customer = Reader.text("customer");
   Spec.Kind = readKind(Reader);
   Spec.Tasks = static_cast<int>(Reader.integer("tasks", TasksRange, 1));
@@ -61,7 +61,7 @@
   Spec.Checkpointable = Reader.boolean("checkpointable", false);
   Reader.finish();
   if (!Faults.empty())
-    return tl::unexpected(joinFaults(Faults));
+    return tl::unexpected(joinErrors(Faults));
   return Spec;
 }
 
--- a/packages/store/src/HttpTable.cpp
+++ b/packages/store/src/HttpTable.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
--- a/packages/store/src/HttpVmList.cpp
+++ b/packages/store/src/HttpVmList.cpp
@@ -3,7 +3,7 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
