--- a/benchmark/SchedulingBenchmark.cpp
+++ b/benchmark/SchedulingBenchmark.cpp
@@ -97,7 +97,7 @@
   });
   const double PerCustomer = bytesEach(210, [&](int Index) {
     ContractTerms Terms;
-    Terms.MaxHeld = Capacity{100'000'000, 100'000'000, 100'000};
+    Terms.MaxCapacity = Capacity{100'000'000, 100'000'000, 100'000};
     Terms.TaskStartWithin = milliseconds(10000);
     Core->setLimit(fmt::format("customer-{}", Index), Terms);
   });
--- a/benchmark/SiteModel.cpp
+++ b/benchmark/SiteModel.cpp
@@ -53,7 +53,7 @@
   }
   for (int Index = 0; Index < Size_.Customers; ++Index) {
     ContractTerms Terms;
-    Terms.MaxHeld = Capacity{TotalCores_, TotalCores_ * 4, 10000};
+    Terms.MaxCapacity = Capacity{TotalCores_, TotalCores_ * 4, 10000};
     Terms.TaskStartWithin = milliseconds(10000);
     Terms.Urgent = Index % UrgentEvery == 0;
     Core.setLimit(fmt::format("c{}", Index), Terms);
--- a/packages/contract/include/cuminroad/contract/Capacity.h
+++ b/packages/contract/include/cuminroad/contract/Capacity.h
@@ -29,21 +29,22 @@
   friend Capacity operator-(Capacity Left, const Capacity &Right) {
     return Left -= Right;
   }
-  friend Capacity operator*(Capacity Left, std::int64_t Times) {
-    return Capacity{Left.MilliCores * Times, Left.MemoryMb * Times,
-                    Left.Accelerators * Times};
+  friend Capacity operator*(Capacity Left, std::int64_t Factor) {
+    return Capacity{Left.MilliCores * Factor, Left.MemoryMb * Factor,
+                    Left.Accelerators * Factor};
   }
   bool operator==(const Capacity &) const = default;
 
-  /// \returns whether all three parts are within \p Room.
-  bool fitsIn(const Capacity &Room) const {
-    return MilliCores <= Room.MilliCores && MemoryMb <= Room.MemoryMb &&
-           Accelerators <= Room.Accelerators;
+  /// \returns whether all three parts are within \p Available.
+  bool fitsIn(const Capacity &Available) const {
+    return MilliCores <= Available.MilliCores &&
+           MemoryMb <= Available.MemoryMb &&
+           Accelerators <= Available.Accelerators;
   }
 };
 
 /// \returns the smaller of each part.
-inline Capacity smaller(const Capacity &Left, const Capacity &Right) {
+inline Capacity componentwiseMin(const Capacity &Left, const Capacity &Right) {
   return Capacity{
       Left.MilliCores < Right.MilliCores ? Left.MilliCores : Right.MilliCores,
       Left.MemoryMb < Right.MemoryMb ? Left.MemoryMb : Right.MemoryMb,
--- a/packages/contract/include/cuminroad/contract/ContractRecord.h
+++ b/packages/contract/include/cuminroad/contract/ContractRecord.h
@@ -42,9 +42,9 @@
 
   /// \returns the terms to apply now: the stricter of accepted and pending
   /// ones, or none where either leaves the customer without a contract.
-  std::optional<ContractTerms> effective() const;
+  std::optional<ContractTerms> effectiveTerms() const;
   /// Turns the pending change into the accepted one.
-  void accept();
+  void acceptPending();
 };
 
 Result<ContractRecord> parseContractRecord(const nlohmann::json &Input);
--- a/packages/contract/include/cuminroad/contract/ContractTerms.h
+++ b/packages/contract/include/cuminroad/contract/ContractTerms.h
@@ -17,7 +17,7 @@
 struct ContractTerms {
   /// The most that all running tasks of the customer hold together, over all
   /// failure domains.
-  Capacity MaxHeld;
+  Capacity MaxCapacity;
   /// The most service requests in flight at a time, over all domains.
   std::int64_t MaxRequests = 0;
   /// How soon a task must start after its job was accepted.
@@ -27,7 +27,7 @@
   /// Urgent work goes first and may preempt what can be checkpointed.
   bool Urgent = false;
   /// Services whose requests are never sent twice, whatever the caller says.
-  std::vector<std::string> NeverRepeat;
+  std::vector<std::string> NeverRetriedServices;
 
   bool operator==(const ContractTerms &) const = default;
 };
@@ -39,7 +39,8 @@
 
 /// \returns the terms that satisfy both; used between the acknowledgement and
 /// the acceptance of a change.
-ContractTerms stricter(const ContractTerms &Left, const ContractTerms &Right);
+ContractTerms stricterTerms(const ContractTerms &Left,
+                            const ContractTerms &Right);
 
 } // namespace cuminroad
 
--- a/packages/contract/include/cuminroad/contract/Settings.h
+++ b/packages/contract/include/cuminroad/contract/Settings.h
@@ -64,7 +64,7 @@
   Timings Times;
 
   /// \returns \p Url with its "address:port" replaced by the address map.
-  std::string reachable(std::string_view Url) const;
+  std::string translateUrl(std::string_view Url) const;
 };
 
 /// Parses settings in JSON with comments; every field is checked.
--- a/packages/contract/src/ContractTerms.cpp
+++ b/packages/contract/src/ContractTerms.cpp
@@ -19,12 +19,12 @@
 } // namespace
 
 Result<ContractTerms> parseContractTerms(const nlohmann::json &Input) {
-  std::vector<Error> Faults;
-  JsonObjectReader Reader(Input, "", Faults);
+  std::vector<Error> Errors;
+  JsonObjectReader Reader(Input, "", Errors);
   ContractTerms Terms;
-  Terms.MaxHeld.MilliCores = Reader.integer("milli_cores", MilliCoresRange);
-  Terms.MaxHeld.MemoryMb = Reader.integer("memory_mb", MemoryMbRange);
-  Terms.MaxHeld.Accelerators =
+  Terms.MaxCapacity.MilliCores = Reader.integer("milli_cores", MilliCoresRange);
+  Terms.MaxCapacity.MemoryMb = Reader.integer("memory_mb", MemoryMbRange);
+  Terms.MaxCapacity.Accelerators =
       Reader.integer("accelerators", AcceleratorsRange, 0);
   Terms.MaxRequests = Reader.integer("requests", RequestsRange);
   Terms.TaskStartWithin =
@@ -32,38 +32,41 @@
   Terms.RequestStartWithin =
       milliseconds(Reader.integer("request_start_within_ms", WaitMsRange));
   Terms.Urgent = Reader.boolean("urgent", false);
-  Terms.NeverRepeat = Reader.texts("never_repeat");
+  Terms.NeverRetriedServices = Reader.texts("never_repeat");
   Reader.finish();
-  if (!Faults.empty())
-    return tl::unexpected(joinErrors(Faults));
+  if (!Errors.empty())
+    return tl::unexpected(joinErrors(Errors));
   return Terms;
 }
 
 nlohmann::json toJson(const ContractTerms &Terms) {
-  return {{"milli_cores", Terms.MaxHeld.MilliCores},
-          {"memory_mb", Terms.MaxHeld.MemoryMb},
-          {"accelerators", Terms.MaxHeld.Accelerators},
+  return {{"milli_cores", Terms.MaxCapacity.MilliCores},
+          {"memory_mb", Terms.MaxCapacity.MemoryMb},
+          {"accelerators", Terms.MaxCapacity.Accelerators},
           {"requests", Terms.MaxRequests},
           {"task_start_within_ms", Terms.TaskStartWithin.count()},
           {"request_start_within_ms", Terms.RequestStartWithin.count()},
           {"urgent", Terms.Urgent},
-          {"never_repeat", Terms.NeverRepeat}};
+          {"never_repeat", Terms.NeverRetriedServices}};
 }
 
-ContractTerms stricter(const ContractTerms &Left, const ContractTerms &Right) {
-  ContractTerms Out;
-  Out.MaxHeld = smaller(Left.MaxHeld, Right.MaxHeld);
-  Out.MaxRequests = std::min(Left.MaxRequests, Right.MaxRequests);
-  Out.TaskStartWithin = std::min(Left.TaskStartWithin, Right.TaskStartWithin);
-  Out.RequestStartWithin =
+ContractTerms stricterTerms(const ContractTerms &Left,
+                            const ContractTerms &Right) {
+  ContractTerms Combined;
+  Combined.MaxCapacity = componentwiseMin(Left.MaxCapacity, Right.MaxCapacity);
+  Combined.MaxRequests = std::min(Left.MaxRequests, Right.MaxRequests);
+  Combined.TaskStartWithin =
+      std::min(Left.TaskStartWithin, Right.TaskStartWithin);
+  Combined.RequestStartWithin =
       std::min(Left.RequestStartWithin, Right.RequestStartWithin);
-  Out.Urgent = Left.Urgent && Right.Urgent;
-  Out.NeverRepeat = Left.NeverRepeat;
-  for (const std::string &Service : Right.NeverRepeat)
-    if (std::find(Out.NeverRepeat.begin(), Out.NeverRepeat.end(), Service) ==
-        Out.NeverRepeat.end())
-      Out.NeverRepeat.push_back(Service);
-  return Out;
+  Combined.Urgent = Left.Urgent && Right.Urgent;
+  Combined.NeverRetriedServices = Left.NeverRetriedServices;
+  for (const std::string &Service : Right.NeverRetriedServices)
+    if (std::find(Combined.NeverRetriedServices.begin(),
+                  Combined.NeverRetriedServices.end(),
+                  Service) == Combined.NeverRetriedServices.end())
+      Combined.NeverRetriedServices.push_back(Service);
+  return Combined;
 }
 
 } // namespace cuminroad
--- a/packages/contract/tests/SettingsTest.cpp
+++ b/packages/contract/tests/SettingsTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const char *const Good = R"({
+const char *const ValidSettings = R"({
   // comments are allowed
   "name": "d1-a", "failure_domain": "d1", "all_failure_domains": ["d1", "d2"],
   "http": {"address": "127.0.0.1", "port": 7400},
@@ -18,27 +18,28 @@
   "address_map": {"10.0.0.1:80": "127.0.0.1:8080"}
 })";
 
-bool mentions(const std::vector<Error> &Faults, const std::string &Text) {
-  return std::any_of(Faults.begin(), Faults.end(), [&](const Error &Fault) {
-    return Fault.Detail.find(Text) != std::string::npos;
+bool anyDetailContains(const std::vector<Error> &Errors,
+                       const std::string &Text) {
+  return std::any_of(Errors.begin(), Errors.end(), [&](const Error &Each) {
+    return Each.Detail.find(Text) != std::string::npos;
   });
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(readsSettingsWithComments) {
-  const auto Config = parseSettings(Good);
+  const auto Config = parseSettings(ValidSettings);
   BOOST_REQUIRE(Config);
   BOOST_CHECK_EQUAL(Config->Name, "d1-a");
   BOOST_CHECK_EQUAL(Config->Http.text(), "127.0.0.1:7400");
-  BOOST_CHECK_EQUAL(Config->reachable("http://10.0.0.1:80/vm/x"),
+  BOOST_CHECK_EQUAL(Config->translateUrl("http://10.0.0.1:80/vm/x"),
                     "http://127.0.0.1:8080/vm/x");
-  BOOST_CHECK_EQUAL(Config->reachable("10.0.0.1:80"), "127.0.0.1:8080");
-  BOOST_CHECK_EQUAL(Config->reachable("http://10.0.0.2:80/"),
+  BOOST_CHECK_EQUAL(Config->translateUrl("10.0.0.1:80"), "127.0.0.1:8080");
+  BOOST_CHECK_EQUAL(Config->translateUrl("http://10.0.0.2:80/"),
                     "http://10.0.0.2:80/");
 }
 
-BOOST_AUTO_TEST_CASE(reportsAllFaultsAtOnceWithTheirPaths) {
+BOOST_AUTO_TEST_CASE(reportsAllErrorsWithTheirPaths) {
   const auto Config = parseSettings(
       R"({"name": "", "failure_domain": "d9", "all_failure_domains": ["d1"],
           "http": {"address": "127.0.0.1", "port": 99999},
@@ -50,11 +51,11 @@
        {"name:", "all_failure_domains:", "http.port:", "peer.address:",
         "peer.adress:", "platform_url:", "operator_token:", "colour:",
         "timings_ms.owner_lease:"})
-    BOOST_CHECK_MESSAGE(mentions(Config.error(), Text), Text);
+    BOOST_CHECK_MESSAGE(anyDetailContains(Config.error(), Text), Text);
 }
 
-BOOST_AUTO_TEST_CASE(reportsWhereTheJsonBreaks) {
+BOOST_AUTO_TEST_CASE(reportsTheLineOfAJsonError) {
   const auto Config = parseSettings("{\n\"name\": }");
   BOOST_REQUIRE(!Config);
-  BOOST_CHECK(mentions(Config.error(), "line 2"));
+  BOOST_CHECK(anyDetailContains(Config.error(), "line 2"));
 }
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -74,7 +74,7 @@
 
 nlohmann::json contractJson(const VersionedContract &Kept) {
   nlohmann::json Out = toJson(Kept.Record);
-  if (const auto Effective = Kept.Record.effective())
+  if (const auto Effective = Kept.Record.effectiveTerms())
     Out["in_force"] = toJson(*Effective);
   return Out;
 }
@@ -427,7 +427,7 @@
                     HttpResponder Respond) {
   HttpCall Call;
   Call.Method = Request.Method;
-  Call.Url = Parts_.Config.reachable("http://" + Http + Request.Path);
+  Call.Url = Parts_.Config.translateUrl("http://" + Http + Request.Path);
   Call.Body = Request.Body;
   Call.Timeout = ForwardTimeout;
   Call.Headers = {{"X-Forwarded-By", Parts_.Self.Name}};
--- a/packages/daemon/src/ConfigManager.cpp
+++ b/packages/daemon/src/ConfigManager.cpp
@@ -201,7 +201,7 @@
 void ConfigManager::publish() {
   ContractTermsByCustomer Terms;
   for (const auto &[Customer, Contract] : Contracts_)
-    if (const auto Effective = Contract.Record.effective())
+    if (const auto Effective = Contract.Record.effectiveTerms())
       Terms.emplace(Customer, *Effective);
   ContractRegistry_.publish(std::move(Terms));
   if (OnChanged)
@@ -309,7 +309,7 @@
 void ConfigManager::accept(const VersionedContract &Contract) {
   ContractRecord Record = Contract.Record;
   const std::string ChangeId = Record.Pending->ChangeId;
-  Record.accept();
+  Record.acceptPending();
   Transaction Change;
   Change.WriteId = randomId();
   Change.Checks = {{contractKey(Record.Customer), Contract.RowVersion}};
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -184,7 +184,7 @@
 
 void EntryDaemon::sendTo(const std::string &Address,
                          const PeerMessage &Message) {
-  Peers_->send(Parts_.Config.reachable(Address), encode(Message));
+  Peers_->send(Parts_.Config.translateUrl(Address), encode(Message));
 }
 
 void EntryDaemon::askOwnerSoon() {
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -236,7 +236,7 @@
   Grants_.setDaemons(std::move(Names));
   std::map<std::string, ContractTerms> Now;
   for (const auto &[Customer, Kept] : Context_.Contracts.contracts())
-    if (const auto Terms = Kept.Record.effective())
+    if (const auto Terms = Kept.Record.effectiveTerms())
       Now.emplace(Customer, *Terms);
   for (const auto &[Customer, Terms] : Contracts_)
     if (!Now.contains(Customer)) {
@@ -334,7 +334,7 @@
   if (Contract == Contracts_.end())
     return Done(failure(ErrorCode::UnknownCustomer, Spec.Customer));
   const auto Checked = Scheduler_->checkFeasible(
-      Spec, Shares_->largestShare(Spec.Customer, Contract->second).MaxHeld);
+      Spec, Shares_->largestShare(Spec.Customer, Contract->second).MaxCapacity);
   if (!Checked) {
     Context_.Events.record(EventId::JobRefused, Spec.Customer,
                            Checked.error().text());
--- a/packages/daemon/src/DomainShare.cpp
+++ b/packages/daemon/src/DomainShare.cpp
@@ -33,9 +33,9 @@
     return Total / Count + (Position < Total % Count ? 1 : 0);
   };
   ContractTerms Out = Terms;
-  Out.MaxHeld =
-      Capacity{Part(Terms.MaxHeld.MilliCores), Part(Terms.MaxHeld.MemoryMb),
-               Part(Terms.MaxHeld.Accelerators)};
+  Out.MaxCapacity = Capacity{Part(Terms.MaxCapacity.MilliCores),
+                             Part(Terms.MaxCapacity.MemoryMb),
+                             Part(Terms.MaxCapacity.Accelerators)};
   Out.MaxRequests = Part(Terms.MaxRequests);
   return Out;
 }
--- a/packages/daemon/src/FrontDoor.cpp
+++ b/packages/daemon/src/FrontDoor.cpp
@@ -85,8 +85,9 @@
   if (!Idempotent.empty() && Idempotent != "true" && Idempotent != "false")
     return failure(ErrorCode::ValueOutOfRange, "X-Idempotent");
   const bool NeverRepeat =
-      std::find(Terms.NeverRepeat.begin(), Terms.NeverRepeat.end(), Service) !=
-      Terms.NeverRepeat.end();
+      std::find(Terms.NeverRetriedServices.begin(),
+                Terms.NeverRetriedServices.end(),
+                Service) != Terms.NeverRetriedServices.end();
   Out.Idempotent = Idempotent == "true" && !NeverRepeat;
   Out.Key = findHeader(Request.Headers, "Idempotency-Key");
   Out.Ticket = findHeader(Request.Headers, "X-Ticket");
@@ -248,7 +249,8 @@
                                 Error{ErrorCode::TicketOwnerGone, Daemon}));
   HttpCall Call;
   Call.Method = Request.Method;
-  Call.Url = Context_.Config.reachable("http://" + Member->Http + Request.Path);
+  Call.Url =
+      Context_.Config.translateUrl("http://" + Member->Http + Request.Path);
   for (const char *Name : {"X-Deadline-Ms", "X-Idempotent", "Idempotency-Key",
                            "X-Ticket", "Content-Type"})
     if (const auto Value = findHeader(Request.Headers, Name); !Value.empty())
@@ -325,7 +327,7 @@
                MinAttemptTime);
   HttpCall Out;
   Out.Method = "POST";
-  Out.Url = Context_.Config.reachable(Held.Url + "/requests");
+  Out.Url = Context_.Config.translateUrl(Held.Url + "/requests");
   Out.RequestId =
       fmt::format("{}-{}-{}-{}", Context_.Self.Name,
                   Context_.Self.Incarnation.substr(0, IncarnationDigits),
--- a/packages/daemon/src/ShareManager.cpp
+++ b/packages/daemon/src/ShareManager.cpp
@@ -57,7 +57,7 @@
         transferableLimits(termsForDomain(Row, Terms, Customer, Context_.Domain,
                                           Context_.Domains)));
     ContractTerms Out = Terms;
-    Out.MaxHeld = Least.Held;
+    Out.MaxCapacity = Least.Held;
     Out.MaxRequests = Least.Requests;
     return Out;
   }
@@ -69,7 +69,7 @@
   ShareAmount Left = transferableLimits(Out);
   Left -= Pending->second.Amount;
   Left = clampToZero(Left);
-  Out.MaxHeld = Left.Held;
+  Out.MaxCapacity = Left.Held;
   Out.MaxRequests = Left.Requests;
   return Out;
 }
@@ -82,7 +82,7 @@
       continue;
     const ShareAmount Reserved =
         reservedShare(Terms, Customer, Domain, Context_.Domains);
-    Out.MaxHeld -= Reserved.Held;
+    Out.MaxCapacity -= Reserved.Held;
     Out.MaxRequests -= Reserved.Requests;
   }
   return Out;
--- a/packages/daemon/src/ShareRow.cpp
+++ b/packages/daemon/src/ShareRow.cpp
@@ -66,7 +66,7 @@
 }
 
 ShareAmount componentMin(const ShareAmount &Left, const ShareAmount &Right) {
-  return ShareAmount{smaller(Left.Held, Right.Held),
+  return ShareAmount{componentwiseMin(Left.Held, Right.Held),
                      std::min(Left.Requests, Right.Requests)};
 }
 
@@ -135,7 +135,7 @@
 }
 
 ShareAmount transferableLimits(const ContractTerms &Terms) {
-  return ShareAmount{Terms.MaxHeld, Terms.MaxRequests};
+  return ShareAmount{Terms.MaxCapacity, Terms.MaxRequests};
 }
 
 ShareRow evenShares(const ContractTerms &Terms, const std::string &Customer,
@@ -180,7 +180,7 @@
   const ShareAmount DomainPart =
       componentMin(Found == Scaled.Parts.end() ? ShareAmount() : Found->second,
                    transferableLimits(Terms));
-  Out.MaxHeld = DomainPart.Held;
+  Out.MaxCapacity = DomainPart.Held;
   Out.MaxRequests = DomainPart.Requests;
   return Out;
 }
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -50,7 +50,7 @@
 void TablelessTakeover::queryVm(const VmSpec &Vm,
                                 const std::shared_ptr<PollRound> &Round) {
   HttpCall Call;
-  Call.Url = Parts_.Config.reachable(Vm.Url + "/holder");
+  Call.Url = Parts_.Config.translateUrl(Vm.Url + "/holder");
   Call.Timeout = QueryTimeout;
   Parts_.ControlClient->send(std::move(Call), [this, Round](HttpResult Answer) {
     Parts_.Control->post([this, Round, Answer = std::move(Answer)] {
--- a/packages/daemon/src/VmSession.cpp
+++ b/packages/daemon/src/VmSession.cpp
@@ -67,7 +67,7 @@
                      std::function<void(HttpResult)> Done) {
   HttpCall Out;
   Out.Method = "POST";
-  Out.Url = Config_.reachable(Claim_.Url + "/" + Path);
+  Out.Url = Config_.translateUrl(Claim_.Url + "/" + Path);
   Out.Body = Body.dump();
   Out.Timeout = Timeout;
   Client_.send(std::move(Out), [Self = shared_from_this(),
--- a/packages/daemon/tests/ShareTest.cpp
+++ b/packages/daemon/tests/ShareTest.cpp
@@ -31,7 +31,7 @@
 
 ContractTerms makeTerms(std::int64_t Cores, std::int64_t Requests) {
   ContractTerms Terms;
-  Terms.MaxHeld = Capacity{Cores, Cores * 2, 0};
+  Terms.MaxCapacity = Capacity{Cores, Cores * 2, 0};
   Terms.MaxRequests = Requests;
   return Terms;
 }
@@ -243,7 +243,7 @@
         std::int64_t Sum = 0;
         for (const std::string &Domain : Domains)
           Sum += termsForDomain(Row, Terms, Customer, Domain, Domains)
-                     .MaxHeld.MilliCores;
+                     .MaxCapacity.MilliCores;
         RC_ASSERT(Sum <= To);
       });
 }
--- a/packages/pool/src/SchedulingPass.cpp
+++ b/packages/pool/src/SchedulingPass.cpp
@@ -362,7 +362,7 @@
     Vm->ReservedUntil = *At;
     Vm->Spare = freeAt(*Vm, *At, Now_) - Step.Plan->reserved() * Here;
     // What fits beside the step must also fit now.
-    Vm->Spare = smaller(Vm->Spare, Vm->free());
+    Vm->Spare = componentwiseMin(Vm->Spare, Vm->free());
     Step.ReservedVms.push_back(Vm);
     Open -= Here;
   }
--- a/packages/scheduling/src/CustomerState.h
+++ b/packages/scheduling/src/CustomerState.h
@@ -29,7 +29,7 @@
   double dominantShare() const {
     if (!Limit)
       return 1.0;
-    const Capacity &Max = Limit->MaxHeld;
+    const Capacity &Max = Limit->MaxCapacity;
     return std::max({fraction(HeldCapacity.MilliCores, Max.MilliCores),
                      fraction(HeldCapacity.MemoryMb, Max.MemoryMb),
                      fraction(HeldCapacity.Accelerators, Max.Accelerators)});
--- a/packages/scheduling/src/SchedulerTables.cpp
+++ b/packages/scheduling/src/SchedulerTables.cpp
@@ -245,7 +245,7 @@
   if (!Customer.Limit)
     return {};
   // Any customer's tasks may run on a VM whose inventory isn't known.
-  return Customer.Limit->MaxHeld - Customer.HeldCapacity -
+  return Customer.Limit->MaxCapacity - Customer.HeldCapacity -
          capacityAwaitingInventory();
 }
 
--- a/packages/scheduling/src/SchedulingPass.cpp
+++ b/packages/scheduling/src/SchedulingPass.cpp
@@ -189,7 +189,7 @@
     // stopping.
     const CustomerState &Customer = Customers_[Job.Customer];
     if (Customer.Limit && (Customer.HeldCapacity + capacityAwaitingInventory())
-                              .fitsIn(Customer.Limit->MaxHeld)) {
+                              .fitsIn(Customer.Limit->MaxCapacity)) {
       issueStart(Handle);
       continue;
     }
--- a/packages/scheduling/tests/PolicyTest.cpp
+++ b/packages/scheduling/tests/PolicyTest.cpp
@@ -32,7 +32,7 @@
 
   void limit(const std::string &Customer, bool Urgent) {
     ContractTerms Terms;
-    Terms.MaxHeld = Capacity{1'000'000, 1'000'000, 100};
+    Terms.MaxCapacity = Capacity{1'000'000, 1'000'000, 100};
     Terms.TaskStartWithin = milliseconds(10000);
     Terms.Urgent = Urgent;
     TestedScheduler->setLimit(Customer, Terms);
--- a/packages/scheduling/tests/ReferenceModel.cpp
+++ b/packages/scheduling/tests/ReferenceModel.cpp
@@ -151,7 +151,7 @@
   Spec.Restartable = (RandomBits >> 17) % 4 != 0;
   Spec.Checkpointable = (RandomBits >> 19) % 2 == 0;
   const auto Checked =
-      Scheduler_->checkFeasible(Spec, Limits_[Spec.Customer].MaxHeld);
+      Scheduler_->checkFeasible(Spec, Limits_[Spec.Customer].MaxCapacity);
   if (Checked.has_value() != canEverRun(Spec))
     addViolation(
         fmt::format("{}: refusal differs from the reference model", Spec.Id));
@@ -165,7 +165,7 @@
   const int ConcurrentTasks = Spec.Kind == JobKind::Gang ? Spec.Tasks : 1;
   const auto Limit = Limits_.find(Spec.Customer);
   if (Limit == Limits_.end() ||
-      !(Spec.PerTask * ConcurrentTasks).fitsIn(Limit->second.MaxHeld))
+      !(Spec.PerTask * ConcurrentTasks).fitsIn(Limit->second.MaxCapacity))
     return false;
   int UnplacedTasks = ConcurrentTasks;
   for (const auto &[Id, Each] : Vms_) {
@@ -290,7 +290,7 @@
   const auto MilliCores =
       1000 * (2 + static_cast<std::int64_t>((RandomBits >> 3) % 30));
   ContractTerms Terms;
-  Terms.MaxHeld = Capacity{MilliCores, MilliCores * 2, 4};
+  Terms.MaxCapacity = Capacity{MilliCores, MilliCores * 2, 4};
   Terms.TaskStartWithin = milliseconds(1000 * (1 + (RandomBits >> 8) % 5));
   Terms.Urgent = Customer == "customer0";
   Limits_[Customer] = Terms;
@@ -359,7 +359,7 @@
     addViolation(Name + " started again although it may not run twice");
   const Capacity Total = heldCapacity(Job.Spec.Customer) + Start.Size +
                          capacityAwaitingInventory();
-  if (!Total.fitsIn(Limits_[Job.Spec.Customer].MaxHeld))
+  if (!Total.fitsIn(Limits_[Job.Spec.Customer].MaxCapacity))
     addViolation(Name + " exceeds its customer's limit");
   if (Start.RecordBeforeStart)
     Job.RecordedStarts.insert(Start.Task.Task.Index);
@@ -420,8 +420,8 @@
         View.Spec.Kind == JobKind::Gang)
       continue;
     const Capacity Size = View.Spec.PerTask;
-    const Capacity Available =
-        Limits_[View.Spec.Customer].MaxHeld - heldCapacity(View.Spec.Customer);
+    const Capacity Available = Limits_[View.Spec.Customer].MaxCapacity -
+                               heldCapacity(View.Spec.Customer);
     // Free capacity is negative where an urgent task waits for preempted tasks
     // to stop.
     bool PreemptionPending = false;
@@ -441,7 +441,7 @@
 void ReferenceModel::finish() {
   constexpr int MaxRounds = 3000;
   for (auto &[Customer, Terms] : Limits_) {
-    Terms.MaxHeld = Capacity{1'000'000, 1'000'000, 1'000};
+    Terms.MaxCapacity = Capacity{1'000'000, 1'000'000, 1'000};
     Scheduler_->setLimit(Customer, Terms);
   }
   for (int Index = 0; Index < ExtraVmCount; ++Index)
