--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -109,7 +109,7 @@
 }
 
 void EntryDaemon::follow() {
-  Parts_.Rows.OnReachable = [this](bool Reachable) {
+  Parts_.Rows.OnReachabilityChange = [this](bool Reachable) {
     Parts_.Events.record(Reachable ? EventId::PlatformBack
                                    : EventId::PlatformLost,
                          Parts_.Self.Name);
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -178,8 +178,8 @@
   }
   if (Changed)
     ++VmTable_;
-  if (OnGoneEntries && !Listing.GoneEntries.empty())
-    OnGoneEntries(Listing.GoneEntries);
+  if (OnGoneEntries && !Listing.GoneDaemons.empty())
+    OnGoneEntries(Listing.GoneDaemons);
   run();
 }
 
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -38,7 +38,7 @@
 std::string Metrics::render(const DaemonParts &Parts, const FrontDoor &Door,
                             const PeerTraffic &Peers) {
   const FrontDoorCounts Counts = Door.counts();
-  const TableUse Use = Parts.PlainTable.use();
+  const TableOperationCounts Use = Parts.PlainTable.operationCounts();
   const HttpTraffic Traffic = Parts.ControlClient->traffic();
   const auto Number = [](auto Value) { return static_cast<double>(Value); };
   setGauge("cuminroad_requests_done_total", "Requests answered whole.",
--- a/packages/fleet/include/cuminroad/fleet/PoolOwner.h
+++ b/packages/fleet/include/cuminroad/fleet/PoolOwner.h
@@ -15,7 +15,7 @@
 #include "cuminroad/fleet/PoolLease.h"
 #include "cuminroad/fleet/VmLink.h"
 #include "cuminroad/pool/PoolScheduler.h"
-#include "cuminroad/store/ChainedWriter.h"
+#include "cuminroad/store/FencedWriter.h"
 #include "cuminroad/store/TableFollower.h"
 
 namespace cuminroad {
@@ -95,7 +95,7 @@
 
   FleetContext Context_;
   PoolTerm Term_;
-  std::shared_ptr<ChainedWriter> Writer_;
+  std::shared_ptr<FencedWriter> Writer_;
   std::shared_ptr<TableFollower> Requests_;
   std::shared_ptr<AdviceDesk> Advice_;
   std::unique_ptr<PoolScheduler> Scheduler_;
--- a/packages/fleet/include/cuminroad/fleet/RelayedStore.h
+++ b/packages/fleet/include/cuminroad/fleet/RelayedStore.h
@@ -38,7 +38,7 @@
   void commit(RowTransaction Change, milliseconds Timeout,
               CommitDone Done) override;
   void read(RowRange Range, milliseconds Timeout, PageDone Done) override;
-  void changes(RowChanges Request, PageDone Done) override;
+  void changes(ChangesQuery Request, PageDone Done) override;
   milliseconds storeTime() const override;
   TimePoint lastContact() const override;
 
--- a/packages/fleet/src/FleetDaemon.cpp
+++ b/packages/fleet/src/FleetDaemon.cpp
@@ -153,7 +153,7 @@
   auto Out = std::make_shared<TableFollower>(
       Store_, Parts_.Home,
       FollowOptions{
-          .Table = std::move(Table), .Partitions = {""}, .Gather = Gather},
+          .Table = std::move(Table), .Partitions = {""}, .BatchDelay = Gather},
       Sink);
   Out->start();
   return Out;
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -63,9 +63,9 @@
 void PoolOwner::start() {
   if (Term_.Inherited)
     InheritedUntil_ = Context_.Time.now() + InheritedWait;
-  Writer_ = std::make_shared<ChainedWriter>(
+  Writer_ = std::make_shared<FencedWriter>(
       Context_.Store, Context_.Home, Context_.Time,
-      ChainedWriter::Head{
+      FencedWriter::HeadRow{
           ownerRow(Term_.Service),
           [this](std::int64_t Serial) { return headValue(Serial); },
           [this](const std::string &Value) { return serialOf(Value); }});
@@ -83,7 +83,7 @@
       Context_.Store, Context_.Home,
       FollowOptions{.Table = std::string(RequestTable),
                     .Partitions = requestPartitions(),
-                    .Gather = GatherRequests},
+                    .BatchDelay = GatherRequests},
       *this);
   Requests_->start();
   readProgress("");
--- a/packages/fleet/src/RelayedStore.cpp
+++ b/packages/fleet/src/RelayedStore.cpp
@@ -256,10 +256,10 @@
                });
 }
 
-void RelayedStore::changes(RowChanges Request, PageDone Done) {
+void RelayedStore::changes(ChangesQuery Request, PageDone Done) {
   Done = withMetrics("changes", std::move(Done));
   const auto MakeRelayedCall = [this, Request] {
-    RowChanges Relayed = Request;
+    ChangesQuery Relayed = Request;
     Relayed.Wait = std::min(Request.Wait, RelayedWaitMax);
     return RelayedCall{encode(StoreCall(ChangesCall{Relayed})),
                        Relayed.Wait + ResponseAllowance, selectPeers()};
--- a/packages/fleet/src/StoreMessages.cpp
+++ b/packages/fleet/src/StoreMessages.cpp
@@ -134,7 +134,7 @@
 }
 
 json commitResultToJson(const RowCommit &Commit) {
-  return json::array({Commit.Version, rowsToJson(Commit.Found)});
+  return json::array({Commit.Version, rowsToJson(Commit.CheckedRows)});
 }
 
 RowCommit commitResultFromJson(const json &Input) {
@@ -167,9 +167,9 @@
           return StoreCall(readCallFromJson(Input));
         if (Kind == "changes")
           return StoreCall(
-              ChangesCall{RowChanges{Input.at("table").get<std::string>(),
-                                     Input.at("after").get<std::int64_t>(),
-                                     millisecondsAt(Input, "wait_ms")}});
+              ChangesCall{ChangesQuery{Input.at("table").get<std::string>(),
+                                       Input.at("after").get<std::int64_t>(),
+                                       millisecondsAt(Input, "wait_ms")}});
         return failure(ErrorCode::MalformedInput, "unknown call " + Kind);
       });
 }
--- a/packages/fleet/src/StoreMessages.h
+++ b/packages/fleet/src/StoreMessages.h
@@ -26,7 +26,7 @@
   milliseconds Timeout{0};
 };
 struct ChangesCall {
-  RowChanges Request;
+  ChangesQuery Request;
 };
 using StoreCall = std::variant<CommitCall, ReadCall, ChangesCall>;
 
--- a/packages/fleet/tests/RelayedStoreTest.cpp
+++ b/packages/fleet/tests/RelayedStoreTest.cpp
@@ -175,7 +175,7 @@
   Http.Hang = true;
   std::optional<TimePoint> Failed;
   Store.changes(
-      RowChanges{"t", 0, milliseconds(1500)},
+      ChangesQuery{"t", 0, milliseconds(1500)},
       [&](const Result<RowPage> &) { Failed = ControlLoop.Time.now(); });
   const TimePoint Begin = ControlLoop.Time.now();
   ControlLoop.runFor(milliseconds(1500));
--- a/packages/store/include/cuminroad/store/HttpTable.h
+++ b/packages/store/include/cuminroad/store/HttpTable.h
@@ -10,7 +10,7 @@
 namespace cuminroad {
 
 /// Operations sent to the table.
-struct TableUse {
+struct TableOperationCounts {
   std::uint64_t Writes = 0;
   std::uint64_t Reads = 0;
 };
@@ -18,19 +18,20 @@
 /// The table service over HTTP.
 class HttpTable final : public Table {
 public:
-  /// \param Client and \p Home must outlive the table and its open calls.
-  HttpTable(std::string BaseUrl, HttpClient &Client, Loop &Home);
+  /// \param Client and \p ControlLoop must outlive the table and its open
+  /// calls.
+  HttpTable(std::string BaseUrl, HttpClient &Client, Loop &ControlLoop);
 
   void commit(Transaction Change, CommitDone Done) override;
   void read(std::string Key, RowDone Done) override;
   void scan(std::string Prefix, RowsDone Done) override;
-  TableUse use() const { return Use_; }
+  TableOperationCounts operationCounts() const { return OperationCounts_; }
 
 private:
   std::string BaseUrl_;
   HttpClient &Client_;
-  Loop &Home_;
-  TableUse Use_;
+  Loop &ControlLoop_;
+  TableOperationCounts OperationCounts_;
 };
 
 } // namespace cuminroad
--- a/packages/store/include/cuminroad/store/ResolvingTable.h
+++ b/packages/store/include/cuminroad/store/ResolvingTable.h
@@ -19,33 +19,34 @@
 /// the first row that they write; others are passed on unresolved.
 class ResolvingTable final : public Table {
 public:
-  /// \param Tries how often a transaction is sent before WriteOutcomeUnknown
+  /// \param MaxTries how often a transaction is sent before WriteOutcomeUnknown
   /// is passed on.
-  ResolvingTable(Table &Inner, Loop &Home, int Tries);
+  ResolvingTable(Table &Inner, Loop &ControlLoop, int MaxTries);
 
   void commit(Transaction Change, CommitDone Done) override;
   void read(std::string Key, RowDone Done) override;
   void scan(std::string Prefix, RowsDone Done) override;
   /// Called on each change between reachable and not.
-  std::function<void(bool)> OnReachable;
+  std::function<void(bool)> OnReachabilityChange;
   bool reachable() const { return Reachable_; }
 
 private:
-  struct Attempt {
+  struct PendingCommit {
     Transaction Change;
     CommitDone Done;
     int Tries = 0;
     /// An earlier try may have taken effect.
-    bool Uncertain = false;
+    bool MayHaveCommitted = false;
   };
-  void send(std::shared_ptr<Attempt> Open);
-  void settle(std::shared_ptr<Attempt> Open, Result<CommitOutcome> Outcome);
-  void readBack(std::shared_ptr<Attempt> Open, CommitOutcome Conflict);
-  void note(bool Reachable);
+  void send(std::shared_ptr<PendingCommit> Commit);
+  void handleOutcome(std::shared_ptr<PendingCommit> Commit,
+                     Result<CommitOutcome> Outcome);
+  void readBack(std::shared_ptr<PendingCommit> Commit, CommitOutcome Conflict);
+  void setReachable(bool Reachable);
 
   Table &Inner_;
-  Loop &Home_;
-  int Tries_;
+  Loop &ControlLoop_;
+  int MaxTries_;
   bool Reachable_ = true;
   std::minstd_rand Random_{std::random_device{}()};
 };
--- a/packages/store/include/cuminroad/store/RowStore.h
+++ b/packages/store/include/cuminroad/store/RowStore.h
@@ -58,7 +58,7 @@
   /// The new version of every row written; 0 where a check failed.
   std::int64_t Version = 0;
   /// The rows checked, as they are; only where a check failed.
-  std::vector<StoredRow> Found;
+  std::vector<StoredRow> CheckedRows;
 
   bool committed() const { return Version != 0; }
 };
@@ -85,7 +85,7 @@
 };
 
 /// The changes of one table after a version, in all partitions.
-struct RowChanges {
+struct ChangesQuery {
   std::string Table;
   std::int64_t After = 0;
   /// How long the store waits for a first change.
@@ -106,7 +106,7 @@
   virtual void commit(RowTransaction Change, milliseconds Timeout,
                       CommitDone Done) = 0;
   virtual void read(RowRange Range, milliseconds Timeout, PageDone Done) = 0;
-  virtual void changes(RowChanges Wanted, PageDone Done) = 0;
+  virtual void changes(ChangesQuery Query, PageDone Done) = 0;
   /// \returns the store's steady clock, estimated from its last answer; 0
   /// before the first one.
   virtual milliseconds storeTime() const = 0;
--- a/packages/store/include/cuminroad/store/TableFollower.h
+++ b/packages/store/include/cuminroad/store/TableFollower.h
@@ -20,7 +20,7 @@
   /// connection that has gone silent shows only when this has passed.
   milliseconds Wait{1500};
   /// Pause after an answer, so that many changes come in one.
-  milliseconds Gather{0};
+  milliseconds BatchDelay{0};
 };
 
 /// What the owner of a follower does with the rows.
@@ -37,8 +37,9 @@
 /// again for as long as it lives, with a delay that doubles.
 class TableFollower : public std::enable_shared_from_this<TableFollower> {
 public:
-  /// \p Store, \p Home and \p Sink must outlive the follower or its close().
-  TableFollower(RowStore &Store, Loop &Home, FollowOptions Options,
+  /// \p Store, \p ControlLoop and \p Sink must outlive the follower or its
+  /// close().
+  TableFollower(RowStore &Store, Loop &ControlLoop, FollowOptions Options,
                 RowSink &Sink);
 
   void start();
@@ -48,24 +49,24 @@
 private:
   void readAll();
   void readPartition(const std::string &Partition, std::string From);
-  void pageRead(const std::string &Partition, Result<RowPage> Page);
-  void follow();
-  void changed(Result<RowPage> Page);
+  void handlePage(const std::string &Partition, Result<RowPage> Page);
+  void waitForChanges();
+  void handleChanges(Result<RowPage> Page);
   void retry(void (TableFollower::*Step)());
 
   RowStore &Store_;
-  Loop &Home_;
+  Loop &ControlLoop_;
   FollowOptions Options_;
   RowSink &Sink_;
-  std::vector<StoredRow> Reading_;
+  std::vector<StoredRow> RowsRead_;
   /// Lowest version of a page of a full read: changes since then may be missing
   /// in other pages, and are read again.
   std::int64_t ReadVersion_ = 0;
-  std::size_t OpenReads_ = 0;
-  int ReadNumber_ = 0;
+  std::size_t PendingPartitions_ = 0;
+  int ReadGeneration_ = 0;
   /// Changes up to it are known.
-  std::int64_t Version_ = 0;
-  milliseconds Delay_;
+  std::int64_t KnownVersion_ = 0;
+  milliseconds RetryDelay_;
   bool Closed_ = false;
 };
 
--- a/packages/store/include/cuminroad/store/VmList.h
+++ b/packages/store/include/cuminroad/store/VmList.h
@@ -24,22 +24,22 @@
 struct VmListing {
   std::vector<ListedVm> Vms;
   /// Names of daemons whose entry VM is finally gone.
-  std::vector<std::string> GoneEntries;
+  std::vector<std::string> GoneDaemons;
 };
 
 /// Reads the platform's list of VMs.
 class VmList {
 public:
-  using Done = std::function<void(Result<VmListing>)>;
+  using ReadDone = std::function<void(Result<VmListing>)>;
   virtual ~VmList() = default;
   /// \param Domain lists the VMs of this failure domain only.
-  virtual void read(std::string Domain, Done Done) = 0;
+  virtual void read(std::string Domain, ReadDone Done) = 0;
 };
 
-/// The list over HTTP. Results come on the thread of \p Home; all arguments
-/// must outlive the list.
+/// The list over HTTP. Results come on the thread of \p ControlLoop; all
+/// arguments must outlive the list.
 std::unique_ptr<VmList> makeHttpVmList(std::string BaseUrl, HttpClient &Client,
-                                       Loop &Home);
+                                       Loop &ControlLoop);
 
 } // namespace cuminroad
 
--- /dev/null
+++ b/packages/store/src/FencedWriter.cpp
@@ -0,0 +1,185 @@
+#include "cuminroad/store/FencedWriter.h"
+
+#include <algorithm>
+
+namespace cuminroad {
+
+namespace {
+
+/// Least time between two transactions; bounds the calls to 40 a second.
+constexpr milliseconds MinSendInterval{25};
+/// Rows in one transaction, below the store's limit of 100 entries, which also
+/// counts the head row and its check.
+constexpr std::size_t MaxRowsPerTransaction = 90;
+/// Bytes in one transaction, well below the store's limit of 1 MB.
+constexpr std::size_t MaxBytesPerTransaction = 500'000;
+/// A try is given up after this many times the usual delay, within bounds. A
+/// lost answer stops the writer for as long, and a repeat is harmless; but
+/// repeats to a store that is only slow make it slower, so that the time
+/// doubles with each try.
+constexpr int TimeoutFactor = 6;
+constexpr milliseconds TimeoutMin{200};
+constexpr milliseconds TimeoutMax{1600};
+/// Share of the newest delay in the usual one.
+constexpr int SmoothingDivisor = 4;
+constexpr milliseconds RetryDelayMin{50};
+constexpr milliseconds RetryDelayMax{400};
+
+} // namespace
+
+FencedWriter::FencedWriter(RowStore &Store, Loop &ControlLoop,
+                           const Clock &MonotonicClock, HeadRow Head)
+    : Store_(Store), ControlLoop_(ControlLoop), MonotonicClock_(MonotonicClock),
+      HeadRow_(std::move(Head)), RetryDelay_(RetryDelayMin),
+      Timeout_(TimeoutMin) {}
+
+void FencedWriter::begin(std::int64_t HeadVersion, TimePoint WrittenAt) {
+  HeadVersion_ = HeadVersion;
+  RenewedAt_ = WrittenAt;
+}
+
+void FencedWriter::enqueue(QueuedRow Change) {
+  if (QueuedNames_.insert(Change.Name).second) {
+    Queue_.push_back(std::move(Change));
+    ++EnqueuedRows_;
+  }
+  scheduleSend(milliseconds(0));
+}
+
+void FencedWriter::put(RowName Name, ValueEncoder Value) {
+  enqueue(QueuedRow{std::move(Name), std::move(Value)});
+}
+
+void FencedWriter::remove(RowName Name) {
+  enqueue(QueuedRow{std::move(Name), nullptr});
+}
+
+void FencedWriter::whenCommitted(CommittedCallback Done) {
+  Waiters_.push_back(CommitWaiter{EnqueuedRows_, std::move(Done)});
+  scheduleSend(milliseconds(0));
+}
+
+milliseconds FencedWriter::expectedDelay() const {
+  const auto Transactions =
+      static_cast<std::int64_t>(1 + Queue_.size() / MaxRowsPerTransaction);
+  return (SmoothedDelay_ + MinSendInterval / 2) * Transactions;
+}
+
+void FencedWriter::renew() {
+  RenewRequested_ = true;
+  scheduleSend(milliseconds(0));
+}
+
+void FencedWriter::scheduleSend(milliseconds Delay) {
+  if (SendScheduled_ || InFlight_ || Closed_)
+    return;
+  SendScheduled_ = true;
+  const auto SinceLastSend = std::chrono::duration_cast<milliseconds>(
+      MonotonicClock_.now() - LastSentAt_);
+  ControlLoop_.after(std::max(Delay, MinSendInterval - SinceLastSend),
+                     [Self = shared_from_this()] {
+                       Self->SendScheduled_ = false;
+                       if (!Self->Closed_ && !Self->InFlight_)
+                         Self->sendTransaction();
+                     });
+}
+
+void FencedWriter::dequeueRows() {
+  std::size_t Bytes = 0;
+  while (!Queue_.empty() && TransactionRows_.size() < MaxRowsPerTransaction &&
+         Bytes < MaxBytesPerTransaction) {
+    QueuedRow Next = std::move(Queue_.front());
+    Queue_.pop_front();
+    QueuedNames_.erase(Next.Name);
+    ++DequeuedRows_;
+    TransactionRow Row{std::move(Next.Name), std::nullopt};
+    if (Next.Value)
+      Row.Value = Next.Value();
+    Bytes += Row.Value ? Row.Value->size() : 0;
+    TransactionRows_.push_back(std::move(Row));
+  }
+}
+
+void FencedWriter::sendTransaction() {
+  if (!Retrying_) {
+    dequeueRows();
+    FirstTrySerial_ = Serial_ + 1;
+  }
+  RenewRequested_ = false;
+  RowTransaction Change;
+  Change.Checks.push_back(RowCheck{HeadRow_.Row, HeadVersion_});
+  Change.Puts.push_back(RowPut{HeadRow_.Row, HeadRow_.EncodeValue(++Serial_)});
+  for (const TransactionRow &Row : TransactionRows_) {
+    if (Row.Value)
+      Change.Puts.push_back(RowPut{Row.Name, *Row.Value});
+    else
+      Change.Removals.push_back(Row.Name);
+  }
+  InFlight_ = true;
+  const TimePoint SentAt = MonotonicClock_.now();
+  LastSentAt_ = SentAt;
+  Store_.commit(std::move(Change), Timeout_,
+                [Self = shared_from_this(), SentAt](Result<RowCommit> Outcome) {
+                  Self->InFlight_ = false;
+                  if (!Self->Closed_)
+                    Self->handleOutcome(SentAt, std::move(Outcome));
+                });
+}
+
+void FencedWriter::handleOutcome(TimePoint SentAt, Result<RowCommit> Outcome) {
+  if (Outcome) {
+    recordDelay(std::chrono::duration_cast<milliseconds>(MonotonicClock_.now() -
+                                                         SentAt));
+    if (Outcome->committed())
+      return handleCommitted(SentAt, Outcome->Version);
+    return handleConflict(*Outcome);
+  }
+  Retrying_ = true;
+  if (Outcome.error().Code == ErrorCode::WriteOutcomeUnknown)
+    Timeout_ = std::min(Timeout_ * 2, TimeoutMax);
+  RenewRequested_ = true;
+  scheduleSend(RetryDelay_);
+  RetryDelay_ = std::min(RetryDelay_ * 2, RetryDelayMax);
+}
+
+void FencedWriter::recordDelay(milliseconds Delay) {
+  SmoothedDelay_ += (Delay - SmoothedDelay_) / SmoothingDivisor;
+  Timeout_ = std::clamp(SmoothedDelay_ * TimeoutFactor, TimeoutMin, TimeoutMax);
+}
+
+void FencedWriter::handleCommitted(TimePoint RenewedAt, std::int64_t Version) {
+  HeadVersion_ = Version;
+  RenewedAt_ = RenewedAt;
+  Retrying_ = false;
+  RetryDelay_ = RetryDelayMin;
+  TransactionRows_.clear();
+  // What waits is told when all rows that were put before it are written.
+  while (!Waiters_.empty() && Waiters_.front().RequiredRows <= DequeuedRows_) {
+    const CommittedCallback Done = std::move(Waiters_.front().Done);
+    Waiters_.pop_front();
+    Done();
+  }
+  if (!Queue_.empty() || !Waiters_.empty() || RenewRequested_)
+    scheduleSend(milliseconds(0));
+}
+
+void FencedWriter::handleConflict(const RowCommit &Outcome) {
+  const auto Head = std::find_if(
+      Outcome.CheckedRows.begin(), Outcome.CheckedRows.end(),
+      [this](const StoredRow &Row) { return Row.Name == HeadRow_.Row; });
+  // An earlier try whose answer was lost took effect, if the head row carries
+  // the number of one of the tries. All of them carried the same rows.
+  const std::int64_t Serial = Head == Outcome.CheckedRows.end()
+                                  ? 0
+                                  : HeadRow_.DecodeSerial(Head->Value);
+  if (Retrying_ && Serial >= FirstTrySerial_) {
+    // When it took effect is not known: the lease counts from before.
+    RenewRequested_ = true;
+    return handleCommitted(RenewedAt_, Head->Version);
+  }
+  Closed_ = true;
+  if (OnReplaced)
+    OnReplaced();
+}
+
+} // namespace cuminroad
--- a/packages/store/src/HttpTable.cpp
+++ b/packages/store/src/HttpTable.cpp
@@ -14,18 +14,19 @@
 constexpr int StatusConflict = 409;
 constexpr int StatusUnavailable = 503;
 
-nlohmann::json encode(const Transaction &Change) {
-  nlohmann::json Out{{"checks", nlohmann::json::array()},
-                     {"writes", nlohmann::json::array()}};
+nlohmann::json encodeTransaction(const Transaction &Change) {
+  nlohmann::json Encoded{{"checks", nlohmann::json::array()},
+                         {"writes", nlohmann::json::array()}};
   for (const VersionCheck &Check : Change.Checks)
-    Out["checks"].push_back({{"key", Check.Key}, {"version", Check.Version}});
+    Encoded["checks"].push_back(
+        {{"key", Check.Key}, {"version", Check.Version}});
   for (const RowWrite &Write : Change.Writes) {
     nlohmann::json Value;
     if (!Write.Value.is_null())
       Value = {{"write_id", Change.WriteId}, {"value", Write.Value}};
-    Out["writes"].push_back({{"key", Write.Key}, {"value", Value}});
+    Encoded["writes"].push_back({{"key", Write.Key}, {"value", Value}});
   }
-  return Out;
+  return Encoded;
 }
 
 TableRow decodeRow(const nlohmann::json &Input) {
@@ -40,33 +41,33 @@
   return Row;
 }
 
-Result<CommitOutcome> judgeCommit(const HttpResult &Answer) {
-  if (!Answer) {
-    const bool Certain = Answer.error().Code == ErrorCode::ConnectFailed;
-    return failure(Certain ? ErrorCode::PlatformUnavailable
+Result<CommitOutcome> parseCommitResponse(const HttpResult &Response) {
+  if (!Response) {
+    const bool NotSent = Response.error().Code == ErrorCode::ConnectFailed;
+    return failure(NotSent ? ErrorCode::PlatformUnavailable
                            : ErrorCode::WriteOutcomeUnknown);
   }
-  if (Answer->Status == StatusUnavailable)
+  if (Response->Status == StatusUnavailable)
     return failure(ErrorCode::PlatformUnavailable);
-  const auto Body = parseJson(Answer->Body, false);
-  if (!Body || (Answer->Status != 200 && Answer->Status != StatusConflict))
+  const auto Body = parseJson(Response->Body, false);
+  if (!Body || (Response->Status != 200 && Response->Status != StatusConflict))
     return failure(ErrorCode::WriteOutcomeUnknown);
   try {
-    CommitOutcome Out;
-    if (Answer->Status == StatusConflict)
-      Out.Conflicts = Body->at("conflicts").get<std::vector<std::string>>();
+    CommitOutcome Outcome;
+    if (Response->Status == StatusConflict)
+      Outcome.Conflicts = Body->at("conflicts").get<std::vector<std::string>>();
     else
-      Out.Revision = Body->at("revision").get<std::int64_t>();
-    return Out;
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::WriteOutcomeUnknown, Fault.what());
+      Outcome.Revision = Body->at("revision").get<std::int64_t>();
+    return Outcome;
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::WriteOutcomeUnknown, Exception.what());
   }
 }
 
-Result<nlohmann::json> judgeRead(const HttpResult &Answer) {
-  if (!Answer || Answer->Status != 200)
+Result<nlohmann::json> parseReadResponse(const HttpResult &Response) {
+  if (!Response || Response->Status != 200)
     return failure(ErrorCode::PlatformUnavailable);
-  return parseJson(Answer->Body, false);
+  return parseJson(Response->Body, false);
 }
 
 Result<std::vector<TableRow>> decodeRows(const Result<nlohmann::json> &Body) {
@@ -77,58 +78,60 @@
     for (const nlohmann::json &Row : Body->at("rows"))
       Rows.push_back(decodeRow(Row));
     return Rows;
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::PlatformUnavailable, Fault.what());
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::PlatformUnavailable, Exception.what());
   }
 }
 
 } // namespace
 
-HttpTable::HttpTable(std::string BaseUrl, HttpClient &Client, Loop &Home)
-    : BaseUrl_(std::move(BaseUrl)), Client_(Client), Home_(Home) {}
+HttpTable::HttpTable(std::string BaseUrl, HttpClient &Client, Loop &ControlLoop)
+    : BaseUrl_(std::move(BaseUrl)), Client_(Client), ControlLoop_(ControlLoop) {
+}
 
 void HttpTable::commit(Transaction Change, CommitDone Done) {
-  ++Use_.Writes;
+  ++OperationCounts_.Writes;
   HttpCall Call;
   Call.Method = "POST";
   Call.Url = BaseUrl_ + "/table/commit";
-  Call.Body = encode(Change).dump();
+  Call.Body = encodeTransaction(Change).dump();
   Call.ConnectTimeout = ConnectTimeout;
   Call.Timeout = CommitTimeout;
   Client_.send(std::move(Call), [this, Done = std::move(Done)](
-                                    const HttpResult &Answer) {
-    Home_.post([Done, Outcome = judgeCommit(Answer)] { Done(Outcome); });
+                                    const HttpResult &Response) {
+    ControlLoop_.post(
+        [Done, Outcome = parseCommitResponse(Response)] { Done(Outcome); });
   });
 }
 
 void HttpTable::read(std::string Key, RowDone Done) {
-  ++Use_.Reads;
+  ++OperationCounts_.Reads;
   HttpCall Call;
   Call.Url = fmt::format("{}/table/row?key={}", BaseUrl_, Key);
   Call.ConnectTimeout = ConnectTimeout;
   Call.Timeout = ReadTimeout;
   Client_.send(std::move(Call), [this, Done = std::move(Done)](
-                                    const HttpResult &Answer) {
-    auto Rows = decodeRows(judgeRead(Answer));
+                                    const HttpResult &Response) {
+    auto Rows = decodeRows(parseReadResponse(Response));
     Result<TableRow> Row =
         Rows && Rows->size() == 1
             ? Result<TableRow>(Rows->front())
             : Result<TableRow>(failure(ErrorCode::PlatformUnavailable));
-    Home_.post([Done, Row = std::move(Row)] { Done(Row); });
+    ControlLoop_.post([Done, Row = std::move(Row)] { Done(Row); });
   });
 }
 
 void HttpTable::scan(std::string Prefix, RowsDone Done) {
-  ++Use_.Reads;
+  ++OperationCounts_.Reads;
   HttpCall Call;
   Call.Url = fmt::format("{}/table/scan?prefix={}", BaseUrl_, Prefix);
   Call.ConnectTimeout = ConnectTimeout;
   Call.Timeout = ReadTimeout;
-  Client_.send(std::move(Call),
-               [this, Done = std::move(Done)](const HttpResult &Answer) {
-                 auto Rows = decodeRows(judgeRead(Answer));
-                 Home_.post([Done, Rows = std::move(Rows)] { Done(Rows); });
-               });
+  Client_.send(std::move(Call), [this, Done = std::move(Done)](
+                                    const HttpResult &Response) {
+    auto Rows = decodeRows(parseReadResponse(Response));
+    ControlLoop_.post([Done, Rows = std::move(Rows)] { Done(Rows); });
+  });
 }
 
 } // namespace cuminroad
--- a/packages/store/src/ResolvingTable.cpp
+++ b/packages/store/src/ResolvingTable.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-constexpr milliseconds DelayMin{50};
-constexpr milliseconds DelayMax{2000};
+constexpr milliseconds RetryDelayMin{50};
+constexpr milliseconds RetryDelayMax{2000};
 
 milliseconds retryDelay(int Tries, std::minstd_rand &Random) {
-  const auto Full = std::min(DelayMin * (1 << std::min(Tries, 10)), DelayMax);
+  const auto FullDelay =
+      std::min(RetryDelayMin * (1 << std::min(Tries, 10)), RetryDelayMax);
   std::uniform_real_distribution<double> Jitter(0.5, 1.0);
-  return std::chrono::duration_cast<milliseconds>(Full * Jitter(Random));
+  return std::chrono::duration_cast<milliseconds>(FullDelay * Jitter(Random));
 }
 
-bool resolvable(const Transaction &Change) {
+bool isResolvable(const Transaction &Change) {
   if (Change.Writes.empty())
     return false;
   return std::any_of(Change.Checks.begin(), Change.Checks.end(),
@@ -26,81 +27,83 @@
 
 } // namespace
 
-ResolvingTable::ResolvingTable(Table &Inner, Loop &Home, int Tries)
-    : Inner_(Inner), Home_(Home), Tries_(Tries) {}
+ResolvingTable::ResolvingTable(Table &Inner, Loop &ControlLoop, int MaxTries)
+    : Inner_(Inner), ControlLoop_(ControlLoop), MaxTries_(MaxTries) {}
 
-void ResolvingTable::note(bool Reachable) {
+void ResolvingTable::setReachable(bool Reachable) {
   if (Reachable == Reachable_)
     return;
   Reachable_ = Reachable;
-  if (OnReachable)
-    OnReachable(Reachable);
+  if (OnReachabilityChange)
+    OnReachabilityChange(Reachable);
 }
 
 void ResolvingTable::commit(Transaction Change, CommitDone Done) {
-  auto Open = std::make_shared<Attempt>();
-  Open->Change = std::move(Change);
-  Open->Done = std::move(Done);
-  send(std::move(Open));
+  auto Commit = std::make_shared<PendingCommit>();
+  Commit->Change = std::move(Change);
+  Commit->Done = std::move(Done);
+  send(std::move(Commit));
 }
 
-void ResolvingTable::send(std::shared_ptr<Attempt> Open) {
-  ++Open->Tries;
-  Inner_.commit(Open->Change, [this, Open](Result<CommitOutcome> Outcome) {
-    settle(Open, std::move(Outcome));
+void ResolvingTable::send(std::shared_ptr<PendingCommit> Commit) {
+  ++Commit->Tries;
+  Inner_.commit(Commit->Change, [this, Commit](Result<CommitOutcome> Outcome) {
+    handleOutcome(Commit, std::move(Outcome));
   });
 }
 
-void ResolvingTable::settle(std::shared_ptr<Attempt> Open,
-                            Result<CommitOutcome> Outcome) {
-  note(Outcome.has_value());
+void ResolvingTable::handleOutcome(std::shared_ptr<PendingCommit> Commit,
+                                   Result<CommitOutcome> Outcome) {
+  setReachable(Outcome.has_value());
   if (Outcome) {
     // A conflict after an uncertain try may be with that very try.
-    if (!Outcome->committed() && Open->Uncertain)
-      readBack(std::move(Open), *Outcome);
+    if (!Outcome->committed() && Commit->MayHaveCommitted)
+      readBack(std::move(Commit), *Outcome);
     else
-      Open->Done(std::move(Outcome));
+      Commit->Done(std::move(Outcome));
     return;
   }
   if (Outcome.error().Code == ErrorCode::WriteOutcomeUnknown)
-    Open->Uncertain = true;
-  if (!Open->Uncertain) {
-    Open->Done(std::move(Outcome));
+    Commit->MayHaveCommitted = true;
+  if (!Commit->MayHaveCommitted) {
+    Commit->Done(std::move(Outcome));
     return;
   }
-  if (!resolvable(Open->Change) || Open->Tries >= Tries_) {
-    Open->Done(failure(ErrorCode::WriteOutcomeUnknown));
+  if (!isResolvable(Commit->Change) || Commit->Tries >= MaxTries_) {
+    Commit->Done(failure(ErrorCode::WriteOutcomeUnknown));
     return;
   }
-  Home_.after(retryDelay(Open->Tries, Random_), [this, Open] { send(Open); });
+  ControlLoop_.after(retryDelay(Commit->Tries, Random_),
+                     [this, Commit] { send(Commit); });
 }
 
-void ResolvingTable::readBack(std::shared_ptr<Attempt> Open,
+void ResolvingTable::readBack(std::shared_ptr<PendingCommit> Commit,
                               CommitOutcome Conflict) {
   Inner_.read(
-      Open->Change.Writes.front().Key,
-      [this, Open, Conflict = std::move(Conflict)](Result<TableRow> Row) {
-        note(Row.has_value());
+      Commit->Change.Writes.front().Key,
+      [this, Commit, Conflict = std::move(Conflict)](Result<TableRow> Row) {
+        setReachable(Row.has_value());
         if (Row) {
           CommitOutcome Outcome = Conflict;
-          if (Row->WriteId == Open->Change.WriteId)
+          if (Row->WriteId == Commit->Change.WriteId)
             Outcome = CommitOutcome{Row->Version, {}};
-          Open->Done(std::move(Outcome));
+          Commit->Done(std::move(Outcome));
           return;
         }
-        if (++Open->Tries >= Tries_) {
-          Open->Done(failure(ErrorCode::WriteOutcomeUnknown));
+        if (++Commit->Tries >= MaxTries_) {
+          Commit->Done(failure(ErrorCode::WriteOutcomeUnknown));
           return;
         }
-        Home_.after(retryDelay(Open->Tries, Random_),
-                    [this, Open, Conflict] { readBack(Open, Conflict); });
+        ControlLoop_.after(
+            retryDelay(Commit->Tries, Random_),
+            [this, Commit, Conflict] { readBack(Commit, Conflict); });
       });
 }
 
 void ResolvingTable::read(std::string Key, RowDone Done) {
   Inner_.read(std::move(Key),
               [this, Done = std::move(Done)](Result<TableRow> Row) {
-                note(Row.has_value());
+                setReachable(Row.has_value());
                 Done(std::move(Row));
               });
 }
@@ -108,7 +111,7 @@
 void ResolvingTable::scan(std::string Prefix, RowsDone Done) {
   Inner_.scan(std::move(Prefix), [this, Done = std::move(Done)](
                                      Result<std::vector<TableRow>> Rows) {
-    note(Rows.has_value());
+    setReachable(Rows.has_value());
     Done(std::move(Rows));
   });
 }
--- a/packages/store/src/TableFollower.cpp
+++ b/packages/store/src/TableFollower.cpp
@@ -17,18 +17,18 @@
 
 } // namespace
 
-TableFollower::TableFollower(RowStore &Store, Loop &Home, FollowOptions Options,
-                             RowSink &Sink)
-    : Store_(Store), Home_(Home), Options_(std::move(Options)), Sink_(Sink),
-      Delay_(RetryDelayMin) {}
+TableFollower::TableFollower(RowStore &Store, Loop &ControlLoop,
+                             FollowOptions Options, RowSink &Sink)
+    : Store_(Store), ControlLoop_(ControlLoop), Options_(std::move(Options)),
+      Sink_(Sink), RetryDelay_(RetryDelayMin) {}
 
 void TableFollower::start() { readAll(); }
 
 void TableFollower::readAll() {
-  Reading_.clear();
+  RowsRead_.clear();
   ReadVersion_ = 0;
-  OpenReads_ = Options_.Partitions.size();
-  ++ReadNumber_;
+  PendingPartitions_ = Options_.Partitions.size();
+  ++ReadGeneration_;
   for (const std::string &Partition : Options_.Partitions)
     readPartition(Partition, "");
 }
@@ -38,67 +38,68 @@
   RowRange Range{Options_.Table, Partition, std::move(From), ""};
   Store_.read(std::move(Range), ReadTimeout,
               [Self = shared_from_this(), Partition,
-               Number = ReadNumber_](Result<RowPage> Page) {
-                if (!Self->Closed_ && Number == Self->ReadNumber_)
-                  Self->pageRead(Partition, std::move(Page));
+               Generation = ReadGeneration_](Result<RowPage> Page) {
+                if (!Self->Closed_ && Generation == Self->ReadGeneration_)
+                  Self->handlePage(Partition, std::move(Page));
               });
 }
 
-void TableFollower::pageRead(const std::string &Partition,
-                             Result<RowPage> Page) {
+void TableFollower::handlePage(const std::string &Partition,
+                               Result<RowPage> Page) {
   if (!Page) {
     // Answers of this read that are still to come are of no use.
-    ++ReadNumber_;
+    ++ReadGeneration_;
     return retry(&TableFollower::readAll);
   }
   if (ReadVersion_ == 0 || Page->Version < ReadVersion_)
     ReadVersion_ = Page->Version;
   const bool More = Page->HasMore && !Page->Rows.empty();
   const std::string Last = More ? Page->Rows.back().Name.Key : "";
-  std::move(Page->Rows.begin(), Page->Rows.end(), std::back_inserter(Reading_));
+  std::move(Page->Rows.begin(), Page->Rows.end(),
+            std::back_inserter(RowsRead_));
   if (More)
     return readPartition(Partition, keyAfter(Last));
-  if (--OpenReads_ > 0)
+  if (--PendingPartitions_ > 0)
     return;
-  Delay_ = RetryDelayMin;
-  Version_ = ReadVersion_;
-  Sink_.tableRead(std::exchange(Reading_, {}));
+  RetryDelay_ = RetryDelayMin;
+  KnownVersion_ = ReadVersion_;
+  Sink_.tableRead(std::exchange(RowsRead_, {}));
   if (!Closed_)
-    follow();
+    waitForChanges();
 }
 
-void TableFollower::follow() {
-  Store_.changes(RowChanges{Options_.Table, Version_, Options_.Wait},
+void TableFollower::waitForChanges() {
+  Store_.changes(ChangesQuery{Options_.Table, KnownVersion_, Options_.Wait},
                  [Self = shared_from_this()](Result<RowPage> Page) {
                    if (!Self->Closed_)
-                     Self->changed(std::move(Page));
+                     Self->handleChanges(std::move(Page));
                  });
 }
 
-void TableFollower::changed(Result<RowPage> Page) {
+void TableFollower::handleChanges(Result<RowPage> Page) {
   if (!Page) {
     if (Page.error().Code == ErrorCode::HistoryGone)
       return readAll();
-    return retry(&TableFollower::follow);
+    return retry(&TableFollower::waitForChanges);
   }
-  Delay_ = RetryDelayMin;
-  Version_ = std::max(Version_, Page->Version);
+  RetryDelay_ = RetryDelayMin;
+  KnownVersion_ = std::max(KnownVersion_, Page->Version);
   if (!Page->Rows.empty())
     Sink_.rowsChanged(std::move(Page->Rows));
   if (Closed_)
     return;
-  Home_.after(Options_.Gather, [Self = shared_from_this()] {
+  ControlLoop_.after(Options_.BatchDelay, [Self = shared_from_this()] {
     if (!Self->Closed_)
-      Self->follow();
+      Self->waitForChanges();
   });
 }
 
 void TableFollower::retry(void (TableFollower::*Step)()) {
-  Home_.after(Delay_, [Self = shared_from_this(), Step] {
+  ControlLoop_.after(RetryDelay_, [Self = shared_from_this(), Step] {
     if (!Self->Closed_)
       ((*Self).*Step)();
   });
-  Delay_ = std::min(Delay_ * 2, RetryDelayMax);
+  RetryDelay_ = std::min(RetryDelay_ * 2, RetryDelayMax);
 }
 
 } // namespace cuminroad
--- /dev/null
+++ b/packages/store/tests/FencedWriterTest.cpp
@@ -0,0 +1,166 @@
+// The chained writer against a store that loses, delays and refuses.
+
+#include <random>
+
+#include <boost/test/unit_test.hpp>
+
+#include "cuminroad/fakes/FakeRowStore.h"
+#include "cuminroad/store/FencedWriter.h"
+
+using namespace cuminroad;
+
+namespace {
+
+const RowName HeadName{"owners", "p", "owner"};
+
+RowName dataRow(int Number) {
+  return RowName{"data", "p", "k" + std::to_string(Number)};
+}
+
+/// A writer named \p Name whose head row is "name/serial".
+std::shared_ptr<FencedWriter> makeWriter(FakeRowStore &Store,
+                                         FakeLoop &ControlLoop,
+                                         const std::string &Name) {
+  return std::make_shared<FencedWriter>(
+      Store, ControlLoop, ControlLoop.Time,
+      FencedWriter::HeadRow{HeadName,
+                            [Name](std::int64_t Serial) {
+                              return Name + "/" + std::to_string(Serial);
+                            },
+                            [Name](const std::string &Value) -> std::int64_t {
+                              return Value.starts_with(Name + "/")
+                                         ? std::stoll(
+                                               Value.substr(Name.size() + 1))
+                                         : 0;
+                            }});
+}
+
+/// Takes the head row over, as a lease does.
+std::int64_t takeHead(FakeRows &Rows, const std::string &Value) {
+  const StoredRow *Row = Rows.find(HeadName);
+  RowTransaction Change;
+  Change.Checks.push_back(
+      RowCheck{HeadName, Row == nullptr ? 0 : Row->Version});
+  Change.Puts.push_back(RowPut{HeadName, Value});
+  return Rows.apply(Change).Version;
+}
+
+StoreFate randomFate(std::mt19937 &Random) {
+  switch (Random() % 8) {
+  case 0:
+    return {StoreFate::Refused, {}};
+  case 1:
+    return {StoreFate::LostAfter, {}};
+  case 2:
+    return {StoreFate::LostBefore, {}};
+  case 3:
+    return {StoreFate::Late, milliseconds(200 + Random() % 4000)};
+  default:
+    return {};
+  }
+}
+
+} // namespace
+
+BOOST_AUTO_TEST_CASE(lastPutRowWinsUnderRandomFailures) {
+  for (unsigned Seed = 1; Seed <= 60; ++Seed) {
+    std::mt19937 Random(Seed);
+    FakeLoop ControlLoop;
+    FakeRows Rows;
+    FakeRowStore Store(Rows, ControlLoop);
+    const auto Writer = makeWriter(Store, ControlLoop, "a");
+    Writer->begin(takeHead(Rows, "a/0"), ControlLoop.Time.now());
+    bool NoFailures = false;
+    Store.Decide = [&] {
+      return NoFailures ? StoreFate{} : randomFate(Random);
+    };
+    std::map<int, std::string> Expected;
+    int Notified = 0;
+    int Requested = 0;
+    for (int Step = 0; Step < 40; ++Step) {
+      const int Key = static_cast<int>(Random() % 5);
+      Expected[Key] = std::to_string(Step);
+      Writer->put(dataRow(Key), [&Expected, Key] { return Expected[Key]; });
+      ++Requested;
+      Writer->whenCommitted([&, Key, Value = Expected[Key]] {
+        ++Notified;
+        // What was told to be recorded is in the store, or something newer.
+        const StoredRow *Row = Rows.find(dataRow(Key));
+        BOOST_REQUIRE(Row != nullptr);
+        BOOST_CHECK_GE(std::stoi(Row->Value), std::stoi(Value));
+      });
+      ControlLoop.runFor(milliseconds(Random() % 300));
+    }
+    NoFailures = true;
+    ControlLoop.runFor(milliseconds(20000));
+    BOOST_CHECK_EQUAL(Notified, Requested);
+    for (const auto &[Key, Value] : Expected)
+      BOOST_CHECK_EQUAL(Rows.find(dataRow(Key))->Value, Value);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(replacedWriterWritesNothing) {
+  for (unsigned Seed = 1; Seed <= 40; ++Seed) {
+    std::mt19937 Random(Seed);
+    FakeLoop ControlLoop;
+    FakeRows Rows;
+    FakeRowStore Store(Rows, ControlLoop);
+    const auto Old = makeWriter(Store, ControlLoop, "old");
+    Old->begin(takeHead(Rows, "old/0"), ControlLoop.Time.now());
+    bool Replaced = false;
+    Old->OnReplaced = [&] { Replaced = true; };
+    Store.Decide = [&] { return randomFate(Random); };
+    for (int Step = 0; Step < 10; ++Step) {
+      Old->put(dataRow(1), [Step] { return "old" + std::to_string(Step); });
+      ControlLoop.runFor(milliseconds(Random() % 200));
+    }
+    takeHead(Rows, "new/0");
+    const StoredRow *Row = Rows.find(dataRow(1));
+    const std::int64_t Version = Row == nullptr ? 0 : Row->Version;
+    Old->put(dataRow(1), [] { return std::string("late"); });
+    ControlLoop.runFor(milliseconds(20000));
+    Row = Rows.find(dataRow(1));
+    BOOST_CHECK_EQUAL(Row == nullptr ? 0 : Row->Version, Version);
+    BOOST_CHECK(Replaced);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(renewalWithLostReplyDoesNotSwallowLaterRows) {
+  // A renewal without rows takes effect, and its answer is lost. Rows put
+  // meanwhile must not count as written with it.
+  FakeLoop ControlLoop;
+  FakeRows Rows;
+  FakeRowStore Store(Rows, ControlLoop);
+  const auto Writer = makeWriter(Store, ControlLoop, "a");
+  Writer->begin(takeHead(Rows, "a/0"), ControlLoop.Time.now());
+  int Calls = 0;
+  Store.Decide = [&] {
+    return ++Calls == 1 ? StoreFate{StoreFate::LostAfter, {}} : StoreFate{};
+  };
+  Writer->renew();
+  ControlLoop.runFor(milliseconds(50));
+  Writer->put(dataRow(1), [] { return std::string("x"); });
+  ControlLoop.runFor(milliseconds(5000));
+  BOOST_REQUIRE(Rows.find(dataRow(1)) != nullptr);
+  BOOST_CHECK_EQUAL(Rows.find(dataRow(1))->Value, "x");
+}
+
+BOOST_AUTO_TEST_CASE(waitersAreNotifiedWhileRowsKeepComing) {
+  // More rows than a transaction takes, all the time: what was put before must
+  // be told as written all the same. Found as starts that were never sent.
+  FakeLoop ControlLoop;
+  FakeRows Rows;
+  FakeRowStore Store(Rows, ControlLoop);
+  Store.Latency = milliseconds(300);
+  const auto Writer = makeWriter(Store, ControlLoop, "a");
+  Writer->begin(takeHead(Rows, "a/0"), ControlLoop.Time.now());
+  int Notified = 0;
+  int Next = 0;
+  for (int Step = 0; Step < 50; ++Step) {
+    for (int Put = 0; Put < 40; ++Put)
+      Writer->put(dataRow(Next++), [] { return std::string("x"); });
+    Writer->whenCommitted([&Notified] { ++Notified; });
+    ControlLoop.runFor(milliseconds(100));
+  }
+  BOOST_CHECK_GE(Notified, 20);
+}
--- a/packages/store/tests/ResolvingTableTest.cpp
+++ b/packages/store/tests/ResolvingTableTest.cpp
@@ -12,30 +12,30 @@
 namespace {
 
 /// Runs work at once or, for delayed work, when asked to.
-class StepLoop final : public Loop {
+class QueuedLoop final : public Loop {
 public:
-  void post(Work Run) override { Queue.push_back(std::move(Run)); }
+  void post(Work Run) override { Queued.push_back(std::move(Run)); }
   void after(milliseconds, Work Run) override {
-    Queue.push_back(std::move(Run));
+    Queued.push_back(std::move(Run));
   }
   void drain() {
-    while (!Queue.empty()) {
-      const Work Run = std::move(Queue.front());
-      Queue.pop_front();
+    while (!Queued.empty()) {
+      const Work Run = std::move(Queued.front());
+      Queued.pop_front();
       Run();
     }
   }
-  std::deque<Work> Queue;
+  std::deque<Work> Queued;
 };
 
-enum class Fate { Answered, LostAfter, LostBefore, Late, Refused };
+enum class CommitBehavior { Answered, LostAfter, LostBefore, Late, Refused };
 
 /// A table in memory that does to each commit what the test says.
 class FakeTable final : public Table {
 public:
-  std::deque<Fate> Fates;
+  std::deque<CommitBehavior> Behaviors;
   std::map<std::string, TableRow> Rows;
-  std::vector<Transaction> LateOnes;
+  std::vector<Transaction> DelayedTransactions;
   std::int64_t Revision = 0;
   int Commits = 0;
 
@@ -52,23 +52,23 @@
   }
 
   void commit(Transaction Change, CommitDone Done) override {
-    Fate Now = Fate::Answered;
-    if (!Fates.empty()) {
-      Now = Fates.front();
-      Fates.pop_front();
+    CommitBehavior Behavior = CommitBehavior::Answered;
+    if (!Behaviors.empty()) {
+      Behavior = Behaviors.front();
+      Behaviors.pop_front();
     }
-    switch (Now) {
-    case Fate::Answered:
+    switch (Behavior) {
+    case CommitBehavior::Answered:
       return Done(apply(Change));
-    case Fate::LostAfter:
+    case CommitBehavior::LostAfter:
       apply(Change);
       return Done(failure(ErrorCode::WriteOutcomeUnknown));
-    case Fate::LostBefore:
+    case CommitBehavior::LostBefore:
       return Done(failure(ErrorCode::WriteOutcomeUnknown));
-    case Fate::Late:
-      LateOnes.push_back(Change);
+    case CommitBehavior::Late:
+      DelayedTransactions.push_back(Change);
       return Done(failure(ErrorCode::WriteOutcomeUnknown));
-    case Fate::Refused:
+    case CommitBehavior::Refused:
       return Done(failure(ErrorCode::PlatformUnavailable));
     }
   }
@@ -79,72 +79,77 @@
 };
 
 struct Fixture {
-  StepLoop Home;
+  QueuedLoop ControlLoop;
   FakeTable Inner;
-  ResolvingTable Rows{Inner, Home, 5};
+  ResolvingTable Rows{Inner, ControlLoop, 5};
 
   Result<CommitOutcome> commit(const std::string &WriteId,
                                std::int64_t Version) {
-    Result<CommitOutcome> Out = failure(ErrorCode::Timeout);
+    Result<CommitOutcome> Outcome = failure(ErrorCode::Timeout);
     Rows.commit(Transaction{WriteId, {{"k", Version}}, {{"k", WriteId}}},
-                [&Out](Result<CommitOutcome> Got) { Out = std::move(Got); });
-    Home.drain();
-    return Out;
+                [&Outcome](Result<CommitOutcome> Received) {
+                  Outcome = std::move(Received);
+                });
+    ControlLoop.drain();
+    return Outcome;
   }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(lostReplyIsFoundToBeOurs, Fixture) {
-  Inner.Fates = {Fate::LostAfter};
+BOOST_FIXTURE_TEST_CASE(lostReplyIsResolvedAsCommitted, Fixture) {
+  Inner.Behaviors = {CommitBehavior::LostAfter};
   const auto Outcome = commit("w1", 0);
   BOOST_REQUIRE(Outcome);
   BOOST_CHECK_EQUAL(Outcome->Revision, Inner.Rows["k"].Version);
   BOOST_CHECK_EQUAL(Inner.Commits, 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(lostRequestIsSentAgain, Fixture) {
-  Inner.Fates = {Fate::LostBefore, Fate::Refused, Fate::LostAfter};
+BOOST_FIXTURE_TEST_CASE(lostRequestIsResent, Fixture) {
+  Inner.Behaviors = {CommitBehavior::LostBefore, CommitBehavior::Refused,
+                     CommitBehavior::LostAfter};
   const auto Outcome = commit("w1", 0);
   BOOST_REQUIRE(Outcome);
   BOOST_CHECK(Outcome->committed());
   BOOST_CHECK_EQUAL(Inner.Commits, 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(lateRequestTakesNoEffectAfterTheSecondTry, Fixture) {
-  Inner.Fates = {Fate::Late};
+BOOST_FIXTURE_TEST_CASE(delayedRequestConflictsAfterTheRetry, Fixture) {
+  Inner.Behaviors = {CommitBehavior::Late};
   BOOST_REQUIRE(commit("w1", 0)->committed());
   const std::int64_t Version = Inner.Rows["k"].Version;
   BOOST_REQUIRE(commit("w2", Version)->committed());
-  BOOST_CHECK(!Inner.apply(Inner.LateOnes.front()).committed());
+  BOOST_CHECK(!Inner.apply(Inner.DelayedTransactions.front()).committed());
   BOOST_CHECK_EQUAL(Inner.Rows["k"].WriteId, "w2");
 }
 
-BOOST_FIXTURE_TEST_CASE(conflictWithAnotherStaysAConflict, Fixture) {
+BOOST_FIXTURE_TEST_CASE(conflictWithAnotherWriterIsReported, Fixture) {
   BOOST_REQUIRE(commit("other", 0)->committed());
-  Inner.Fates = {Fate::LostBefore};
+  Inner.Behaviors = {CommitBehavior::LostBefore};
   const auto Outcome = commit("mine", 0);
   BOOST_REQUIRE(Outcome);
   BOOST_CHECK(!Outcome->committed());
 }
 
-BOOST_FIXTURE_TEST_CASE(refusalIsCertain, Fixture) {
-  Inner.Fates = {Fate::Refused};
+BOOST_FIXTURE_TEST_CASE(refusalIsReportedWithoutRetry, Fixture) {
+  Inner.Behaviors = {CommitBehavior::Refused};
   BOOST_CHECK(commit("w1", 0).error().Code == ErrorCode::PlatformUnavailable);
   BOOST_CHECK_EQUAL(Inner.Commits, 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(endlessLossStaysUnknown, Fixture) {
-  Inner.Fates = std::deque<Fate>(20, Fate::LostBefore);
+BOOST_FIXTURE_TEST_CASE(outcomeIsUnknownAfterTheLastTry, Fixture) {
+  Inner.Behaviors = std::deque<CommitBehavior>(20, CommitBehavior::LostBefore);
   BOOST_CHECK(commit("w1", 0).error().Code == ErrorCode::WriteOutcomeUnknown);
 }
 
-BOOST_FIXTURE_TEST_CASE(reachabilityIsToldOnChange, Fixture) {
-  std::vector<bool> Told;
-  Rows.OnReachable = [&Told](bool Reachable) { Told.push_back(Reachable); };
-  Inner.Fates = {Fate::Refused, Fate::Refused};
+BOOST_FIXTURE_TEST_CASE(reachabilityChangesAreReportedOnce, Fixture) {
+  std::vector<bool> Notified;
+  Rows.OnReachabilityChange = [&Notified](bool Reachable) {
+    Notified.push_back(Reachable);
+  };
+  Inner.Behaviors = {CommitBehavior::Refused, CommitBehavior::Refused};
   (void)commit("w1", 0);
   (void)commit("w1", 0);
   (void)commit("w1", 0);
-  BOOST_CHECK((Told == std::vector<bool>{false, true}));
+  BOOST_CHECK((Notified == std::vector<bool>{false, true}));
 }
--- a/packages/store/tests/TableFollowerTest.cpp
+++ b/packages/store/tests/TableFollowerTest.cpp
@@ -12,21 +12,21 @@
 
 namespace {
 
-class MapSink final : public RowSink {
+class RowMap final : public RowSink {
 public:
   void tableRead(std::vector<StoredRow> Rows) override {
-    Known.clear();
+    Values.clear();
     rowsChanged(std::move(Rows));
   }
   void rowsChanged(std::vector<StoredRow> Rows) override {
     for (const StoredRow &Row : Rows) {
       if (Row.Removed)
-        Known.erase(Row.Name.Key);
+        Values.erase(Row.Name.Key);
       else
-        Known[Row.Name.Key] = Row.Value;
+        Values[Row.Name.Key] = Row.Value;
     }
   }
-  std::map<std::string, std::string> Known;
+  std::map<std::string, std::string> Values;
 };
 
 void write(FakeRows &Rows, int Partition, const std::string &Key,
@@ -42,23 +42,24 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(endsWithWhatTheTableHas) {
+BOOST_AUTO_TEST_CASE(convergesToTheTableUnderFailures) {
   for (unsigned Seed = 1; Seed <= 40; ++Seed) {
     std::mt19937 Random(Seed);
-    FakeLoop Home;
+    FakeLoop ControlLoop;
     FakeRows Rows;
-    FakeRowStore Store(Rows, Home);
-    bool Calm = false;
+    FakeRowStore Store(Rows, ControlLoop);
+    bool NoFailures = false;
     Store.Decide = [&] {
-      return !Calm && Random() % 3 == 0 ? StoreFate{StoreFate::Refused, {}}
-                                        : StoreFate{};
+      return !NoFailures && Random() % 3 == 0
+                 ? StoreFate{StoreFate::Refused, {}}
+                 : StoreFate{};
     };
-    MapSink Sink;
+    RowMap Sink;
     const auto Follower = std::make_shared<TableFollower>(
-        Store, Home,
+        Store, ControlLoop,
         FollowOptions{"t", {"p0", "p1"}, milliseconds(500), milliseconds(20)},
         Sink);
-    std::map<std::string, std::string> Wanted;
+    std::map<std::string, std::string> Expected;
     for (int Step = 0; Step < 200; ++Step) {
       const int Key = static_cast<int>(Random() % 700);
       const std::string Name = "k" + std::to_string(Key);
@@ -66,33 +67,34 @@
           Random() % 4 == 0 ? "" : "v" + std::to_string(Step);
       write(Rows, Key % 2, Name, Value);
       if (Value.empty())
-        Wanted.erase(Name);
+        Expected.erase(Name);
       else
-        Wanted[Name] = Value;
+        Expected[Name] = Value;
       if (Step == 20)
         Follower->start();
       if (Random() % 40 == 0)
         Rows.compact();
-      Home.runFor(milliseconds(Random() % 60));
+      ControlLoop.runFor(milliseconds(Random() % 60));
     }
-    Calm = true;
-    Home.runFor(milliseconds(5000));
-    BOOST_CHECK(Sink.Known == Wanted);
+    NoFailures = true;
+    ControlLoop.runFor(milliseconds(5000));
+    BOOST_CHECK(Sink.Values == Expected);
     Follower->close();
   }
 }
 
 BOOST_AUTO_TEST_CASE(readsTablesOfSeveralPages) {
-  FakeLoop Home;
+  FakeLoop ControlLoop;
   FakeRows Rows;
-  FakeRowStore Store(Rows, Home);
+  FakeRowStore Store(Rows, ControlLoop);
   for (int Key = 0; Key < 1300; ++Key)
     write(Rows, 0, "k" + std::to_string(Key), "v");
-  MapSink Sink;
+  RowMap Sink;
   const auto Follower = std::make_shared<TableFollower>(
-      Store, Home, FollowOptions{"t", {"p0"}, milliseconds(500), {}}, Sink);
+      Store, ControlLoop, FollowOptions{"t", {"p0"}, milliseconds(500), {}},
+      Sink);
   Follower->start();
-  Home.runFor(milliseconds(500));
-  BOOST_CHECK_EQUAL(Sink.Known.size(), 1300);
+  ControlLoop.runFor(milliseconds(500));
+  BOOST_CHECK_EQUAL(Sink.Values.size(), 1300);
   Follower->close();
 }
--- a/tests/fakes/include/cuminroad/fakes/FakeRowStore.h
+++ b/tests/fakes/include/cuminroad/fakes/FakeRowStore.h
@@ -54,7 +54,7 @@
   void commit(RowTransaction Change, milliseconds Timeout,
               CommitDone Done) override;
   void read(RowRange Range, milliseconds Timeout, PageDone Done) override;
-  void changes(RowChanges Wanted, PageDone Done) override;
+  void changes(ChangesQuery Wanted, PageDone Done) override;
   milliseconds storeTime() const override;
   TimePoint lastContact() const override { return LastContact_; }
 
@@ -66,7 +66,7 @@
 
 private:
   StoreFate fate() const { return Decide ? Decide() : StoreFate{}; }
-  void poll(RowChanges Wanted, TimePoint Until, PageDone Done);
+  void poll(ChangesQuery Wanted, TimePoint Until, PageDone Done);
 
   FakeRows &Rows_;
   FakeLoop &Home_;
--- a/tests/fakes/src/FakeRowStore.cpp
+++ b/tests/fakes/src/FakeRowStore.cpp
@@ -27,11 +27,11 @@
     const StoredRow *Row = find(Check.Name);
     Holds = Holds && (Row == nullptr ? 0 : Row->Version) == Check.Version;
     if (Row != nullptr)
-      Out.Found.push_back(*Row);
+      Out.CheckedRows.push_back(*Row);
   }
   if (!Holds)
     return Out;
-  Out.Found.clear();
+  Out.CheckedRows.clear();
   Out.Version = ++Version;
   for (const RowPut &Put : Change.Puts)
     Rows[keyOf(Put.Name)] = StoredRow{Put.Name, Put.Value, Version, false};
@@ -119,7 +119,7 @@
   });
 }
 
-void FakeRowStore::changes(RowChanges Wanted, PageDone Done) {
+void FakeRowStore::changes(ChangesQuery Wanted, PageDone Done) {
   ++Reads;
   if (fate().What != StoreFate::Answered) {
     Home_.after(Latency,
@@ -131,7 +131,7 @@
               [this, Wanted, Until, Done] { poll(Wanted, Until, Done); });
 }
 
-void FakeRowStore::poll(RowChanges Wanted, TimePoint Until, PageDone Done) {
+void FakeRowStore::poll(ChangesQuery Wanted, TimePoint Until, PageDone Done) {
   if (Wanted.After < Rows_.CompactedTo)
     return Done(failure(ErrorCode::HistoryGone));
   RowPage Page = Rows_.changesSince(Wanted.Table, Wanted.After);
