--- a/packages/base/include/cuminroad/base/BootClock.h
+++ b/packages/base/include/cuminroad/base/BootClock.h
@@ -7,8 +7,10 @@
 
 namespace cuminroad {
 
-/// The machine's monotonic clock, which goes on while the machine is suspended.
-/// Leases that others count must be counted by it.
+/// The machine's boot-time clock: monotonic, and it also advances while the
+/// machine is suspended. A lease that another machine also times must be
+/// measured by this clock, or it would outlast the other side's lease after a
+/// suspension.
 class BootClock final : public Clock {
 public:
   TimePoint now() const override {
--- a/packages/base/include/cuminroad/base/Clock.h
+++ b/packages/base/include/cuminroad/base/Clock.h
@@ -5,18 +5,19 @@
 
 namespace cuminroad {
 
-/// A point of monotonic time. Leases and timeouts are counted in it alone, so
-/// that a step of the wall clock can't lengthen a lease.
+/// A point of monotonic time. Leases and timeouts are measured only in
+/// monotonic time, so that an adjustment of the system clock can't lengthen a
+/// lease.
 using TimePoint = std::chrono::steady_clock::time_point;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Source of monotonic time, passed in so that tests can drive it.
+/// Source of monotonic time, injected so that tests can control it.
 class Clock {
 public:
   virtual ~Clock() = default;
-  /// \returns the present monotonic time; never smaller than a value that it
-  /// returned before.
+  /// \returns the current monotonic time, never less than a value returned
+  /// before.
   virtual TimePoint now() const = 0;
 };
 
--- a/packages/base/include/cuminroad/base/Error.h
+++ b/packages/base/include/cuminroad/base/Error.h
@@ -9,8 +9,8 @@
 
 namespace cuminroad {
 
-/// Every failure that cuminroad reports. The numbers are part of the API and
-/// never change their meaning; docs/ERRORS.md lists them.
+/// Codes of all errors that cuminroad reports. The numbers are part of the API
+/// and never change their meaning; docs/ERRORS.md lists them.
 enum class ErrorCode {
   MalformedInput = 100,
   UnknownField = 101,
@@ -49,34 +49,35 @@
   NotReady = 250,
 };
 
-/// A row of the message table.
+/// A row of the error table.
 struct ErrorInfo {
   ErrorCode Code;
   /// Stable name, used in JSON.
   std::string_view Name;
-  /// English text for people.
+  /// Human-readable description in English.
   std::string_view Message;
 };
 
-/// \returns all rows, by rising number. The views live as long as the program.
+/// \returns all rows in ascending order of their numbers. The views live as
+/// long as the program.
 std::span<const ErrorInfo> errorTable();
 /// \returns the row of \p Code. The views live as long as the program.
 const ErrorInfo &errorInfo(ErrorCode Code);
 
-/// A failure: its type, and what it was about.
+/// An error: its code, and what it concerns.
 struct Error {
   ErrorCode Code;
-  /// Which field, row or peer; may be empty.
+  /// The field, row, peer or URL concerned; may be empty.
   std::string Detail;
 
-  /// \returns one line with name, message and detail.
+  /// \returns name, message and detail in one line.
   std::string text() const;
 };
 
-/// A value or the failure that kept it from being made. Must be checked.
+/// A value, or the error because of which there is none. Check it before use.
 template <typename T> using Result = tl::expected<T, Error>;
 
-/// Shorthand for the failure side of a Result.
+/// Makes the error alternative of a Result.
 inline tl::unexpected<Error> failure(ErrorCode Code, std::string Detail = {}) {
   return tl::unexpected<Error>(Error{Code, std::move(Detail)});
 }
--- a/packages/base/include/cuminroad/base/EventId.h
+++ b/packages/base/include/cuminroad/base/EventId.h
@@ -6,8 +6,8 @@
 
 namespace cuminroad {
 
-/// Every event that a process logs. docs/EVENTS.md is the catalogue; a test
-/// holds it equal to eventCatalogue().
+/// Identifies the events that a process logs. docs/EVENTS.md lists them; a test
+/// checks that the page matches eventCatalogue().
 enum class EventId {
   DaemonStarted = 1000,
   DaemonReady = 1001,
@@ -67,7 +67,7 @@
   LinesDropped = 1700,
 };
 
-/// How urgent an event is.
+/// Severity of an event.
 enum class Severity { Info, Warning, Error };
 
 /// A row of the event catalogue.
@@ -78,7 +78,8 @@
   std::string_view Description;
 };
 
-/// \returns all rows, by rising number. The views live as long as the program.
+/// \returns all rows in ascending order of their numbers. The views live as
+/// long as the program.
 std::span<const EventInfo> eventCatalogue();
 /// \returns the row of \p Id.
 const EventInfo &eventInfo(EventId Id);
--- a/packages/base/include/cuminroad/base/EventLog.h
+++ b/packages/base/include/cuminroad/base/EventLog.h
@@ -16,40 +16,44 @@
 
 namespace cuminroad {
 
-/// One event that happened in this process.
+/// An event recorded in this process.
 struct Event {
-  /// Stamp of the hybrid logical clock, microseconds since the epoch or later.
+  /// Timestamp of the hybrid logical clock: microseconds since the Unix epoch,
+  /// or ahead of that after a message from a process whose clock is ahead.
   std::uint64_t Stamp;
   EventId Id;
-  /// What the event was about: a VM, job, customer or peer.
+  /// The VM, job, customer or peer concerned.
   std::string Subject;
   std::string Detail;
 };
 
-/// Writes events to standard output, a JSON object a line, and keeps the last
-/// ones in memory for the time line. Safe to use from any thread. Lines are
-/// bounded by LogRateLimiter, and one that the reader does not take at once is
-/// left out: a reader that stops costs lines, not service.
+/// Writes events to standard output as JSON, one object a line, and keeps the
+/// most recent ones in memory for the timeline command. Thread-safe.
+/// LogRateLimiter bounds the number of lines, and a line that can't be written
+/// without blocking is dropped, so that a reader that stops reading loses log
+/// lines instead of stalling the process.
 class EventLog {
 public:
-  /// \param Process name of this process on every line.
-  /// \param Capacity number of events kept; older ones are dropped.
-  /// \param Output where lines go; null keeps them in memory only.
+  /// \param Process name of this process, in every line.
+  /// \param Capacity number of events kept in memory; older ones are discarded.
+  /// \param Output stream that lines are written to; null keeps events in
+  /// memory only.
   EventLog(std::string Process, std::size_t Capacity,
            std::FILE *Output = stdout);
 
-  /// Records an event now. Secrets never go into \p Subject or \p Detail.
+  /// Records an event. \p Subject and \p Detail must not contain secrets.
   void record(EventId Id, std::string_view Subject,
               std::string_view Detail = {});
-  /// \returns the kept events with a stamp above \p After, oldest first.
+  /// \returns the events in memory with a stamp above \p After, oldest first.
   std::vector<Event> since(std::uint64_t After) const;
-  /// The clock whose stamps travel with messages to other processes.
+  /// The clock whose stamps are sent with messages to other processes.
   HybridLogicalClock &logicalClock() { return LogicalClock_; }
   const std::string &process() const { return Process_; }
 
 private:
-  /// Writes the line if the budget and the reader allow it.
+  /// Writes the line, or counts it as dropped if that would block.
   void writeLine(const std::string &Line);
+  /// Logs the number of dropped lines, at most once a second.
   void reportDroppedLines(TimePoint Now);
   std::string format(EventId Id, std::uint64_t Stamp, std::string_view Subject,
                      std::string_view Detail) const;
--- a/packages/base/include/cuminroad/base/HybridLogicalClock.h
+++ b/packages/base/include/cuminroad/base/HybridLogicalClock.h
@@ -6,14 +6,14 @@
 
 namespace cuminroad {
 
-/// Hybrid logical clock: wall-clock microseconds that never fall behind a
-/// stamp seen from another process, so that sorting by stamp keeps every cause
-/// before its effects. Safe to use from any thread.
+/// Hybrid logical clock: microseconds of the system clock since the Unix epoch,
+/// advanced past every stamp received from another process. Sorting by stamp
+/// therefore puts every cause before its effects. Thread-safe.
 class HybridLogicalClock {
 public:
-  /// \returns a stamp larger than all that were returned or observed before.
+  /// \returns a stamp above all that were returned or observed before.
   std::uint64_t next();
-  /// Takes in a stamp that came with a message from another process.
+  /// Advances the clock to a stamp received from another process.
   void observe(std::uint64_t Stamp);
 
 private:
--- a/packages/base/include/cuminroad/base/Ids.h
+++ b/packages/base/include/cuminroad/base/Ids.h
@@ -5,8 +5,8 @@
 
 namespace cuminroad {
 
-/// \returns 128 random bits as 32 hexadecimal digits, from the system's random
-/// device; used where two processes must never choose the same name.
+/// \returns 128 bits of the system's random device as 32 hexadecimal digits,
+/// for ids that no two processes may share.
 std::string randomId();
 
 } // namespace cuminroad
--- a/packages/base/include/cuminroad/base/LogRateLimiter.h
+++ b/packages/base/include/cuminroad/base/LogRateLimiter.h
@@ -9,16 +9,18 @@
 
 namespace cuminroad {
 
-/// Bounds the log lines of each kind of event in a second, so that load costs
-/// lines and not service. Warnings and errors have a larger share: decisions
-/// that refuse, stop or lose something are kept longest.
+/// Limits the log lines of each event id per second, so that load can't make
+/// logging slow the process down. Warnings and errors have a higher limit than
+/// informational events: lines about refusals, stops and losses are the last to
+/// be dropped. Not thread-safe.
 class LogRateLimiter {
 public:
-  /// \returns whether one more line of this kind may be written now.
+  /// Counts a line of this event. \returns whether it may be written; if not,
+  /// it is counted as dropped.
   bool tryAcquire(EventId Id, TimePoint Now);
-  /// \returns the lines left out since the last call.
+  /// Resets the count of dropped lines. \returns its previous value.
   std::uint64_t takeDropCount();
-  /// Counts a line that could not be written.
+  /// Counts a line as dropped.
   void recordDrop() { ++DropCount_; }
 
 private:
--- a/packages/base/include/cuminroad/base/ManualClock.h
+++ b/packages/base/include/cuminroad/base/ManualClock.h
@@ -5,11 +5,11 @@
 
 namespace cuminroad {
 
-/// A clock that moves only when it is told to; for tests and benchmarks.
+/// A clock that moves only in advance(); for tests and benchmarks.
 class ManualClock final : public Clock {
 public:
   TimePoint now() const override { return Now_; }
-  /// Moves the clock forward by \p Step.
+  /// Moves the clock forward by \p Step, in milliseconds.
   void advance(milliseconds Step) { Now_ += Step; }
 
 private:
--- a/packages/base/include/cuminroad/base/MessagePack.h
+++ b/packages/base/include/cuminroad/base/MessagePack.h
@@ -11,18 +11,18 @@
 
 namespace cuminroad {
 
-/// \returns \p Value as MessagePack, the form of rows in the store and of
-/// messages between daemons.
+/// \returns \p Value encoded as MessagePack, the format of rows in the store
+/// and of messages between daemons.
 inline std::string packMessage(const nlohmann::json &Value) {
   std::string Bytes;
   nlohmann::json::to_msgpack(Value, Bytes);
   return Bytes;
 }
 
-/// \param Decode makes a value of the unpacked message; it may throw
-/// nlohmann::json::exception, as json's checked access does, or return a
-/// Result.
-/// \returns what \p Decode made, or MalformedInput.
+/// Decodes a MessagePack message.
+/// \param Decode converts the unpacked JSON value to T or Result<T>; it may
+/// throw nlohmann::json::exception, as json's checked accessors do.
+/// \returns the result of \p Decode, or MalformedInput.
 template <typename T, typename F>
 Result<T> unpackMessage(std::string_view Bytes, F Decode) {
   try {
--- a/packages/base/include/cuminroad/base/SteadyClock.h
+++ b/packages/base/include/cuminroad/base/SteadyClock.h
@@ -5,7 +5,7 @@
 
 namespace cuminroad {
 
-/// The machine's monotonic clock.
+/// The machine's monotonic clock; it may stop while the machine is suspended.
 class SteadyClock final : public Clock {
 public:
   TimePoint now() const override { return std::chrono::steady_clock::now(); }
--- a/packages/base/src/EventLog.cpp
+++ b/packages/base/src/EventLog.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// How often lines that were left out are counted in a line.
+/// Interval between log lines that report the number of dropped lines.
 constexpr seconds DropReportInterval{1};
 
 } // namespace
@@ -51,7 +51,8 @@
 }
 
 void EventLog::writeLine(const std::string &Line) {
-  // A pipe that is ready takes a line of this length whole, without blocking.
+  // A pipe that is ready for writing accepts up to PIPE_BUF bytes at once,
+  // without blocking or splitting the line.
   pollfd Descriptor{fileno(Output_), POLLOUT, 0};
   const bool Writable = Line.size() <= PIPE_BUF &&
                         poll(&Descriptor, 1, 0) == 1 &&
--- a/packages/base/src/JsonObjectReader.cpp
+++ b/packages/base/src/JsonObjectReader.cpp
@@ -38,7 +38,7 @@
   }
   std::string Value = text(Name, "");
   if (Value.empty())
-    addError(ErrorCode::ValueOutOfRange, Name, "must be a non-empty text");
+    addError(ErrorCode::ValueOutOfRange, Name, "must be a non-empty string");
   return Value;
 }
 
@@ -48,7 +48,7 @@
   if (Value == nullptr)
     return std::string(Default);
   if (!Value->is_string()) {
-    addError(ErrorCode::ValueOutOfRange, Name, "must be a text");
+    addError(ErrorCode::ValueOutOfRange, Name, "must be a string");
     return std::string(Default);
   }
   return Value->get<std::string>();
@@ -69,16 +69,16 @@
   const nlohmann::json *Value = member(Name);
   if (Value == nullptr)
     return Default;
-  // A number above the signed range would wrap round in get<int64_t>().
+  // get<int64_t>() wraps around for a number above the signed range.
   const bool TooLarge =
       Value->is_number_unsigned() &&
       Value->get<std::uint64_t>() > static_cast<std::uint64_t>(Range.High);
   if (!Value->is_number_integer() || TooLarge ||
       Value->get<std::int64_t>() < Range.Low ||
       Value->get<std::int64_t>() > Range.High) {
-    addError(ErrorCode::ValueOutOfRange, Name,
-             fmt::format("must be a whole number from {} to {}", Range.Low,
-                         Range.High));
+    addError(
+        ErrorCode::ValueOutOfRange, Name,
+        fmt::format("must be an integer from {} to {}", Range.Low, Range.High));
     return Default;
   }
   return Value->get<std::int64_t>();
@@ -101,14 +101,14 @@
   if (Value == nullptr)
     return Texts;
   if (!Value->is_array()) {
-    addError(ErrorCode::ValueOutOfRange, Name, "must be a list of texts");
+    addError(ErrorCode::ValueOutOfRange, Name, "must be an array of strings");
     return Texts;
   }
   for (const nlohmann::json &Entry : *Value) {
     if (Entry.is_string())
       Texts.push_back(Entry.get<std::string>());
     else
-      addError(ErrorCode::ValueOutOfRange, Name, "must be a list of texts");
+      addError(ErrorCode::ValueOutOfRange, Name, "must be an array of strings");
   }
   return Texts;
 }
@@ -118,7 +118,7 @@
     return;
   for (const auto &[Name, Value] : Object_.items())
     if (!ReadNames_.contains(Name))
-      addError(ErrorCode::UnknownField, Name, "is not known");
+      addError(ErrorCode::UnknownField, Name, "is unknown");
 }
 
 Result<nlohmann::json> parseJson(std::string_view Text, bool Comments) {
--- a/packages/base/src/LogRateLimiter.cpp
+++ b/packages/base/src/LogRateLimiter.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Lines of one kind in a second. An owner at 150 starts a second, the peak of
-/// two years, writes some 300 lines of starts and ends.
+/// Lines of one event id per second. The owner of a pool writes about 300 lines
+/// of starts and ends a second at 150 starts a second, the peak of two years.
 constexpr int MaxInfoLinesPerSecond = 400;
 constexpr int MaxWarningLinesPerSecond = 800;
 
--- a/packages/base/tests/EventCatalogueTest.cpp
+++ b/packages/base/tests/EventCatalogueTest.cpp
@@ -1,4 +1,5 @@
-// docs/EVENTS.md and docs/ERRORS.md list exactly what the code has.
+// Checks that docs/EVENTS.md and docs/ERRORS.md list exactly the events and
+// errors of the code, with the same texts.
 
 #include <fstream>
 #include <sstream>
--- a/packages/base/tests/EventLogTest.cpp
+++ b/packages/base/tests/EventLogTest.cpp
@@ -1,4 +1,5 @@
-// The log's volume under load, and a reader that stops reading.
+// Checks that the log bounds its volume under load, and that a reader that
+// stops reading does not block the process.
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// A pipe with the log at its writing end.
+/// A pipe; the log writes to its write end.
 struct Pipe {
   Pipe() {
     BOOST_REQUIRE_EQUAL(pipe(Ends), 0);
@@ -40,7 +41,7 @@
 BOOST_AUTO_TEST_CASE(stalledReaderDoesNotBlockTheLog) {
   const Pipe LogPipe;
   EventLog Log("p", 10, LogPipe.Writer);
-  // Far more than a pipe holds: this would block without end.
+  // Far more than the pipe's buffer: blocking writes would never return.
   const std::string Detail(500, 'x');
   for (int Round = 0; Round < 300; ++Round)
     for (const EventId Id : {EventId::RunStarted, EventId::RunEnded,
--- a/packages/contract/include/cuminroad/contract/Capacity.h
+++ b/packages/contract/include/cuminroad/contract/Capacity.h
@@ -5,10 +5,14 @@
 
 namespace cuminroad {
 
-/// What a VM has, a task declares, or a contract allows.
+/// An amount of resources: of a VM, declared by a task, or allowed by a
+/// contract.
 struct Capacity {
+  /// CPU time in thousandths of a core.
   std::int64_t MilliCores = 0;
+  /// Memory in megabytes.
   std::int64_t MemoryMb = 0;
+  /// Number of whole accelerators.
   std::int64_t Accelerators = 0;
 
   Capacity &operator+=(const Capacity &Other) {
@@ -35,7 +39,7 @@
   }
   bool operator==(const Capacity &) const = default;
 
-  /// \returns whether all three parts are within \p Available.
+  /// \returns whether no component exceeds that of \p Available.
   bool fitsIn(const Capacity &Available) const {
     return MilliCores <= Available.MilliCores &&
            MemoryMb <= Available.MemoryMb &&
@@ -43,7 +47,7 @@
   }
 };
 
-/// \returns the smaller of each part.
+/// \returns the minimum of each component.
 inline Capacity componentwiseMin(const Capacity &Left, const Capacity &Right) {
   return Capacity{
       Left.MilliCores < Right.MilliCores ? Left.MilliCores : Right.MilliCores,
--- a/packages/contract/include/cuminroad/contract/ContractRecord.h
+++ b/packages/contract/include/cuminroad/contract/ContractRecord.h
@@ -12,38 +12,42 @@
 
 namespace cuminroad {
 
-/// A change that an operator proposed and that is not yet accepted.
+/// A change of a contract that an operator proposed and that not all daemons
+/// have acknowledged.
 struct PendingChange {
-  /// Names the change, so that a lost reply can be resolved by reading back.
+  /// Identifies the change: if the response to its write is lost, reading the
+  /// row shows whether the write took effect.
   std::string ChangeId;
-  /// Who proposed it.
+  /// The operator who proposed it.
   std::string Operator;
-  /// The new terms; none when the contract is to be retired.
+  /// The new terms; none to retire the contract.
   std::optional<ContractTerms> Terms;
 };
 
-/// A change that was accepted.
+/// An accepted change of a contract.
 struct AcceptedChange {
   std::int64_t Version = 0;
   std::string ChangeId;
   std::string Operator;
 };
 
-/// The row that the platform's table holds for one customer.
+/// The row of one customer's contract in the platform's table.
 struct ContractRecord {
   std::string Customer;
-  /// Counts accepted changes; 0 while the first one is pending.
+  /// Number of accepted changes; 0 while the first one is pending.
   std::int64_t Version = 0;
-  /// The accepted terms; none before the first acceptance and when retired.
+  /// The accepted terms; none before the first change is accepted, and none
+  /// after the contract was retired.
   std::optional<ContractTerms> Terms;
   std::optional<PendingChange> Pending;
-  /// The last accepted changes, oldest first.
+  /// The most recent accepted changes, oldest first.
   std::vector<AcceptedChange> History;
 
-  /// \returns the terms to apply now: the stricter of accepted and pending
-  /// ones, or none where either leaves the customer without a contract.
+  /// \returns the terms to apply now: while a change is pending, the stricter
+  /// of the accepted and the proposed terms. None if either leaves the customer
+  /// without a contract.
   std::optional<ContractTerms> effectiveTerms() const;
-  /// Turns the pending change into the accepted one.
+  /// Accepts the pending change, which must exist.
   void acceptPending();
 };
 
--- a/packages/contract/include/cuminroad/contract/ContractTerms.h
+++ b/packages/contract/include/cuminroad/contract/ContractTerms.h
@@ -12,33 +12,34 @@
 
 namespace cuminroad {
 
-/// What operators promise one customer. Every limit on the customer's work
-/// follows from these fields.
+/// The terms of one customer's contract. All limits on the customer's work are
+/// derived from these fields.
 struct ContractTerms {
-  /// The most that all running tasks of the customer hold together, over all
-  /// failure domains.
+  /// Limit on the total capacity of the customer's running tasks in all failure
+  /// domains.
   Capacity MaxCapacity;
-  /// The most service requests in flight at a time, over all domains.
+  /// Limit on concurrent service requests in all failure domains.
   std::int64_t MaxRequests = 0;
-  /// How soon a task must start after its job was accepted.
+  /// Time within which a task must start after its job was accepted.
   milliseconds TaskStartWithin{0};
-  /// How soon a service request must be sent to a backend server.
+  /// Time within which a service request must be sent to a backend server.
   milliseconds RequestStartWithin{0};
-  /// Urgent work goes first and may preempt what can be checkpointed.
+  /// Urgent work is scheduled first and may preempt tasks that can be
+  /// checkpointed.
   bool Urgent = false;
-  /// Services whose requests are never sent twice, whatever the caller says.
+  /// Services whose requests are never sent twice, even if the caller marks
+  /// them as idempotent.
   std::vector<std::string> NeverRetriedServices;
 
   bool operator==(const ContractTerms &) const = default;
 };
 
-/// Parses the terms of a contract; every field is checked.
-/// \returns the terms, or all faults joined.
+/// Parses and validates the terms of a contract.
+/// \returns the terms, or all errors joined into one.
 Result<ContractTerms> parseContractTerms(const nlohmann::json &Input);
 nlohmann::json toJson(const ContractTerms &Terms);
 
-/// \returns the terms that satisfy both; used between the acknowledgement and
-/// the acceptance of a change.
+/// \returns the terms that satisfy both, which apply while a change is pending.
 ContractTerms stricterTerms(const ContractTerms &Left,
                             const ContractTerms &Right);
 
--- a/packages/contract/src/Settings.cpp
+++ b/packages/contract/src/Settings.cpp
@@ -55,8 +55,8 @@
   readDuration(Reader, "max_request_time", Parsed.MaxRequestTime);
   readDuration(Reader, "shutdown_linger", Parsed.ShutdownLinger);
   Reader.finish();
-  // A lease that is renewed less than twice in its life lapses at the first
-  // lost message.
+  // A lease shorter than two renewal intervals lapses after a single lost
+  // renewal.
   if (Parsed.OwnerLease < 2 * Parsed.OwnerRenewal)
     Reader.addError(ErrorCode::ValueOutOfRange, "owner_lease",
                     "must be at least twice owner_renewal");
@@ -119,7 +119,7 @@
   if (std::count(Parsed.Domains.begin(), Parsed.Domains.end(), Parsed.Domain) !=
       1)
     Reader.addError(ErrorCode::ValueOutOfRange, "all_failure_domains",
-                    "must have failure_domain as one of its entries");
+                    "must contain failure_domain exactly once");
   Parsed.Http = readEndpoint(Reader, "http", Errors);
   Parsed.Peer = readEndpoint(Reader, "peer", Errors);
   Parsed.PlatformUrl = Reader.text("platform_url");
--- a/packages/contract/tests/ContractTest.cpp
+++ b/packages/contract/tests/ContractTest.cpp
@@ -1,3 +1,6 @@
+// Checks the JSON form of contracts, and the terms that apply while a change is
+// pending.
+
 #include <boost/test/unit_test.hpp>
 #include <nlohmann/json.hpp>
 
--- a/packages/contract/tests/SettingsTest.cpp
+++ b/packages/contract/tests/SettingsTest.cpp
@@ -1,3 +1,6 @@
+// Checks that valid settings are read, and that all errors of invalid ones are
+// reported with their paths.
+
 #include <algorithm>
 
 #include <boost/test/unit_test.hpp>
--- a/packages/store/include/cuminroad/store/FencedWriter.h
+++ b/packages/store/include/cuminroad/store/FencedWriter.h
@@ -16,61 +16,66 @@
 
 /// Writes the rows of one partition as its only writer, one transaction at a
 /// time. Each transaction replaces a head row and checks the version that the
-/// one before gave it. So a writer that was replaced can write nothing more,
-/// and a transaction whose answer was lost can't take effect after a later one.
-/// The head row doubles as the writer's lease: every transaction renews it.
+/// previous transaction gave it. Therefore a writer that was replaced can't
+/// write any more, and a transaction whose response was lost can't take effect
+/// after a later one. The head row also serves as the writer's lease: every
+/// transaction renews it.
 class FencedWriter : public std::enable_shared_from_this<FencedWriter> {
 public:
   using CommittedCallback = std::function<void()>;
   using ValueEncoder = std::function<std::string()>;
 
-  /// What is in the head row.
+  /// Name and encoding of the head row.
   struct HeadRow {
     RowName Row;
-    /// Its content for a given serial number.
+    /// Encodes the value for a serial number.
     std::function<std::string(std::int64_t Serial)> EncodeValue;
-    /// The serial number in a content of this writer; 0 for another writer's.
+    /// Decodes the serial number of a value that this writer wrote; 0 for a
+    /// value of another writer.
     std::function<std::int64_t(const std::string &Value)> DecodeSerial;
   };
 
   FencedWriter(RowStore &Store, Loop &ControlLoop, const Clock &MonotonicClock,
                HeadRow Head);
 
-  /// Continues from a head row that this process has just written.
+  /// Starts from a head row that this process has just written.
   void begin(std::int64_t HeadVersion, TimePoint WrittenAt);
+  /// Stops writing: sends no further transaction and ignores the outcome of the
+  /// one in flight.
   void close() { Closed_ = true; }
-  /// Replaces the row. \p Value is asked for when the transaction leaves, so
-  /// that several puts of one row before that become one, with its latest
-  /// content.
+  /// Queues the row for replacement. \p Value is called when the transaction is
+  /// sent, so that several puts of a row before then become one, with the
+  /// latest value.
   void put(RowName Name, ValueEncoder Value);
+  /// Queues the row for removal.
   void remove(RowName Name);
-  /// Calls \p Done when all that was put so far is in the store.
+  /// Calls \p Done when all rows that were put so far are in the store.
   void whenCommitted(CommittedCallback Done);
-  /// Renews the head row even if nothing else is to be written.
+  /// Writes the head row even if no other row is queued.
   void renew();
-  /// When the last transaction that took effect was sent.
+  /// \returns when the last transaction known to have taken effect was sent.
   TimePoint renewedAt() const { return RenewedAt_; }
   std::int64_t headVersion() const { return HeadVersion_; }
-  /// How long a transaction takes at present.
+  /// \returns the smoothed duration of recent transactions.
   milliseconds recentDelay() const { return SmoothedDelay_; }
-  /// How long it takes at present until a row put now is written.
+  /// \returns the expected time until a row that is put now is written.
   milliseconds expectedDelay() const;
-  /// Called once when the head row shows another writer.
+  /// Called once, when the head row was found to be written by another writer.
   std::function<void()> OnReplaced;
 
 private:
   struct QueuedRow {
     RowName Name;
-    /// Null to remove the row.
+    /// Null if the row is to be removed.
     ValueEncoder Value;
   };
   struct TransactionRow {
     RowName Name;
-    /// Nothing to remove the row.
+    /// None if the row is to be removed.
     std::optional<std::string> Value;
   };
   struct CommitWaiter {
-    /// Rows that had been put when it began to wait.
+    /// Value of EnqueuedRows_ when it began to wait.
     std::int64_t RequiredRows = 0;
     CommittedCallback Done;
   };
@@ -90,15 +95,15 @@
   HeadRow HeadRow_;
   std::int64_t HeadVersion_ = 0;
   std::int64_t Serial_ = 0;
-  /// Serial number of the first try of the present rows.
+  /// Serial number of the first try to write TransactionRows_.
   std::int64_t FirstTrySerial_ = 0;
   std::deque<QueuedRow> Queue_;
   std::set<RowName> QueuedNames_;
   std::deque<CommitWaiter> Waiters_;
-  /// Rows that were put, and that went into transactions, so far.
+  /// Number of rows queued, and of rows moved to transactions, so far.
   std::int64_t EnqueuedRows_ = 0;
   std::int64_t DequeuedRows_ = 0;
-  /// What the transaction under way holds. A try that may have taken effect is
+  /// Rows of the transaction in flight. A try that may have taken effect is
   /// repeated with the same rows.
   std::vector<TransactionRow> TransactionRows_;
   bool Retrying_ = false;
@@ -110,7 +115,7 @@
   TimePoint LastSentAt_{};
   milliseconds RetryDelay_;
   milliseconds Timeout_;
-  /// How long a transaction takes, smoothed.
+  /// Exponential moving average of the duration of transactions.
   milliseconds SmoothedDelay_{0};
 };
 
--- a/packages/store/include/cuminroad/store/HttpTable.h
+++ b/packages/store/include/cuminroad/store/HttpTable.h
@@ -9,17 +9,16 @@
 
 namespace cuminroad {
 
-/// Operations sent to the table.
+/// Number of operations sent to the table service.
 struct TableOperationCounts {
   std::uint64_t Writes = 0;
   std::uint64_t Reads = 0;
 };
 
-/// The table service over HTTP.
+/// Client of the table service over HTTP.
 class HttpTable final : public Table {
 public:
-  /// \param Client and \p ControlLoop must outlive the table and its open
-  /// calls.
+  /// \p Client and \p ControlLoop must outlive the table and its pending calls.
   HttpTable(std::string BaseUrl, HttpClient &Client, Loop &ControlLoop);
 
   void commit(Transaction Change, CommitDone Done) override;
--- a/packages/store/include/cuminroad/store/ResolvingTable.h
+++ b/packages/store/include/cuminroad/store/ResolvingTable.h
@@ -10,23 +10,25 @@
 
 namespace cuminroad {
 
-/// Finds out what became of writes whose reply was lost.
+/// Table that determines whether a write took effect whose response was lost.
 ///
-/// It sends the same transaction again: where the first one took effect, the
-/// second one conflicts, and the row read back carries its WriteId. Where it
-/// did not, the second one commits, and the first one, should it still be
-/// under way, conflicts. This holds for transactions that check the version of
-/// the first row that they write; others are passed on unresolved.
+/// It sends the same transaction again. If the first try took effect, the
+/// second one conflicts, and the row that is then read carries its WriteId. If
+/// it did not, the second try commits, and the first one conflicts should it
+/// still reach the table. This holds for transactions that check the version of
+/// the first row that they write; the outcome of others is passed on
+/// unresolved.
 class ResolvingTable final : public Table {
 public:
-  /// \param MaxTries how often a transaction is sent before WriteOutcomeUnknown
-  /// is passed on.
+  /// \param MaxTries maximum number of tries of a transaction before
+  /// WriteOutcomeUnknown is passed on.
   ResolvingTable(Table &Inner, Loop &ControlLoop, int MaxTries);
 
   void commit(Transaction Change, CommitDone Done) override;
   void read(std::string Key, RowDone Done) override;
   void scan(std::string Prefix, RowsDone Done) override;
-  /// Called on each change between reachable and not.
+  /// Called with the new state whenever the table becomes reachable or
+  /// unreachable.
   std::function<void(bool)> OnReachabilityChange;
   bool reachable() const { return Reachable_; }
 
--- a/packages/store/include/cuminroad/store/RowStore.h
+++ b/packages/store/include/cuminroad/store/RowStore.h
@@ -12,7 +12,7 @@
 
 namespace cuminroad {
 
-/// Names a row. Transactions span the tables of one partition only.
+/// Identifies a row. A transaction may span tables, but only one partition.
 struct RowName {
   std::string Table;
   std::string Partition;
@@ -25,7 +25,7 @@
   }
 };
 
-/// A row as it was read. Version is 0 where there is no such row.
+/// A row as it was read. Version is 0 if the row does not exist.
 struct StoredRow {
   RowName Name;
   /// Uninterpreted bytes.
@@ -46,57 +46,61 @@
   std::string Value;
 };
 
-/// All of it takes effect or none.
+/// An atomic change of rows: all of it takes effect, or none.
 struct RowTransaction {
   std::vector<RowCheck> Checks;
   std::vector<RowPut> Puts;
   std::vector<RowName> Removals;
 };
 
-/// How a transaction ended.
+/// The outcome of a transaction.
 struct RowCommit {
-  /// The new version of every row written; 0 where a check failed.
+  /// The new version of all rows written; 0 if a check failed.
   std::int64_t Version = 0;
-  /// The rows checked, as they are; only where a check failed.
+  /// The current rows of all checks; only if a check failed.
   std::vector<StoredRow> CheckedRows;
 
   bool committed() const { return Version != 0; }
 };
 
-/// Keys From <= key < Until of one partition's table; "" leaves an end open.
+/// The rows with From <= key < Until of one table and partition; "" leaves an
+/// end unbounded.
 struct RowRange {
   std::string Table;
   std::string Partition;
   std::string From;
   std::string Until;
+  /// Maximum number of rows in a page.
   int Limit = 500;
 };
 
-/// \returns a bound that is above \p Key and below every later key. Keys hold
+/// \returns a bound above \p Key and below every greater key. Keys contain
 /// neither spaces nor control characters.
 inline std::string keyAfter(const std::string &Key) { return Key + ' '; }
 
-/// Rows as of one moment.
+/// Rows read at one point in time.
 struct RowPage {
   std::vector<StoredRow> Rows;
   bool HasMore = false;
-  /// The newest version of the whole store at that moment.
+  /// The newest version in the whole store at that time.
   std::int64_t Version = 0;
 };
 
-/// The changes of one table after a version, in all partitions.
+/// Requests the changes of one table, in all partitions, after a version.
 struct ChangesQuery {
   std::string Table;
   std::int64_t After = 0;
-  /// How long the store waits for a first change.
+  /// How long the store waits for a change before it responds (long poll).
   milliseconds Wait{0};
 };
 
-/// The platform's store of versioned rows. Results come on the loop's thread.
+/// The platform's store of versioned rows. Callbacks run on the thread of the
+/// control loop.
 ///
-/// Errors: PlatformUnavailable (certainly nothing was done),
-/// WriteOutcomeUnknown (the transaction took effect, or may yet do so, if its
-/// checks still hold), HistoryGone (changes() only: read everything again).
+/// Errors: PlatformUnavailable (the call certainly had no effect),
+/// WriteOutcomeUnknown (the transaction may have taken effect, or may still do
+/// so if its checks hold then), HistoryGone (changes() only: the table must be
+/// read in full again).
 class RowStore {
 public:
   using CommitDone = std::function<void(Result<RowCommit>)>;
@@ -107,10 +111,10 @@
                       CommitDone Done) = 0;
   virtual void read(RowRange Range, milliseconds Timeout, PageDone Done) = 0;
   virtual void changes(ChangesQuery Query, PageDone Done) = 0;
-  /// \returns the store's steady clock, estimated from its last answer; 0
-  /// before the first one.
+  /// \returns the time of the store's monotonic clock, estimated from its last
+  /// response; 0 before the first one.
   virtual milliseconds storeTime() const = 0;
-  /// \returns when the store last answered a call with a result.
+  /// \returns when the store last returned a result.
   virtual TimePoint lastContact() const = 0;
 };
 
--- a/packages/store/include/cuminroad/store/Table.h
+++ b/packages/store/include/cuminroad/store/Table.h
@@ -14,12 +14,12 @@
 namespace cuminroad {
 
 /// A row of the platform's table. Version is the revision of the transaction
-/// that wrote it last; a row that does not exist has version 0.
+/// that last wrote it, and 0 for a row that does not exist.
 struct TableRow {
   std::string Key;
   std::int64_t Version = 0;
   nlohmann::json Value;
-  /// The transaction that wrote it, see Transaction::WriteId.
+  /// WriteId of the transaction that last wrote it.
   std::string WriteId;
 };
 
@@ -35,29 +35,30 @@
   nlohmann::json Value;
 };
 
-/// All of it takes effect or none.
+/// An atomic change of rows: all of it takes effect, or none.
 struct Transaction {
-  /// Written into each row, so that reading back tells who wrote it.
+  /// Stored in each row written, so that a later read shows which transaction
+  /// wrote it.
   std::string WriteId;
   std::vector<VersionCheck> Checks;
   std::vector<RowWrite> Writes;
 };
 
-/// How a transaction ended.
+/// The outcome of a transaction.
 struct CommitOutcome {
-  /// The new version of every row written; 0 where it did not commit.
+  /// The new version of all rows written; 0 if the transaction did not commit.
   std::int64_t Revision = 0;
-  /// Keys whose version was another one.
+  /// Keys of the rows whose version check failed.
   std::vector<std::string> Conflicts;
 
   bool committed() const { return Revision != 0; }
 };
 
-/// The platform's transactional table service. Results come on the thread of
-/// the loop that the implementation was given.
+/// The platform's transactional table service. Callbacks run on the thread of
+/// the control loop that the implementation was given.
 ///
 /// Errors: PlatformUnavailable (certainly nothing was written) and
-/// WriteOutcomeUnknown.
+/// WriteOutcomeUnknown (the transaction may or may not take effect).
 class Table {
 public:
   using CommitDone = std::function<void(Result<CommitOutcome>)>;
@@ -66,7 +67,7 @@
 
   virtual ~Table() = default;
   virtual void commit(Transaction Change, CommitDone Done) = 0;
-  /// Reads one row; a missing one comes with version 0.
+  /// Reads one row; a missing row is returned with version 0.
   virtual void read(std::string Key, RowDone Done) = 0;
   /// Reads all rows whose key begins with \p Prefix.
   virtual void scan(std::string Prefix, RowsDone Done) = 0;
--- a/packages/store/include/cuminroad/store/TableFollower.h
+++ b/packages/store/include/cuminroad/store/TableFollower.h
@@ -10,31 +10,31 @@
 
 namespace cuminroad {
 
-/// Which table is followed, and how often.
+/// Which table is followed, and at which intervals.
 struct FollowOptions {
   std::string Table;
   /// The partitions that are read in full at the start, and again when the
-  /// store has dropped its history.
+  /// store no longer retains the changes since the last read.
   std::vector<std::string> Partitions;
-  /// How long the store holds a call without a change; short, since a
-  /// connection that has gone silent shows only when this has passed.
+  /// How long the store delays its response while there is no change (long
+  /// poll). Short, because a dead connection is noticed only after this time.
   milliseconds Wait{1500};
-  /// Pause after an answer, so that many changes come in one.
+  /// Pause after a response, so that the next one carries several changes.
   milliseconds BatchDelay{0};
 };
 
-/// What the owner of a follower does with the rows.
+/// Receives the rows of a followed table.
 class RowSink {
 public:
   virtual ~RowSink() = default;
-  /// All rows of the table at one moment; replaces what was known.
+  /// All rows of the table after a full read; they replace all earlier rows.
   virtual void tableRead(std::vector<StoredRow> Rows) = 0;
-  /// Rows that changed since, in order.
+  /// Rows that changed since the last call, in the order of their versions.
   virtual void rowsChanged(std::vector<StoredRow> Rows) = 0;
 };
 
-/// Keeps up with one table: reads it whole, then waits for changes. Tries
-/// again for as long as it lives, with a delay that doubles.
+/// Follows one table: reads it in full, then polls for changes. Failed calls
+/// are retried without limit, with exponential backoff.
 class TableFollower : public std::enable_shared_from_this<TableFollower> {
 public:
   /// \p Store, \p ControlLoop and \p Sink must outlive the follower or its
@@ -43,7 +43,7 @@
                 RowSink &Sink);
 
   void start();
-  /// Ends the follower; nothing is called back after this.
+  /// Stops following; no callback is called after this.
   void close() { Closed_ = true; }
 
 private:
@@ -59,12 +59,14 @@
   FollowOptions Options_;
   RowSink &Sink_;
   std::vector<StoredRow> RowsRead_;
-  /// Lowest version of a page of a full read: changes since then may be missing
-  /// in other pages, and are read again.
+  /// The lowest store version of all pages of a full read. Later changes may be
+  /// missing in some pages, so that changes are requested from this version on.
   std::int64_t ReadVersion_ = 0;
+  /// Partitions of the full read that are not yet read to their end.
   std::size_t PendingPartitions_ = 0;
+  /// Identifies the current full read; pages of earlier ones are ignored.
   int ReadGeneration_ = 0;
-  /// Changes up to it are known.
+  /// Store version up to which all changes were passed to the sink.
   std::int64_t KnownVersion_ = 0;
   milliseconds RetryDelay_;
   bool Closed_ = false;
--- a/packages/store/include/cuminroad/store/VmList.h
+++ b/packages/store/include/cuminroad/store/VmList.h
@@ -11,19 +11,19 @@
 
 namespace cuminroad {
 
-/// What the platform says of a VM. Gone is final.
+/// State of a VM as listed by the platform. Gone is final.
 enum class ListedState { Live, Leaving, Gone };
 
-/// A backend server's VM on the platform's list.
+/// A backend server's VM in the platform's list.
 struct ListedVm {
   VmSpec Spec;
   ListedState State = ListedState::Live;
 };
 
-/// The platform's list of VMs, which lags behind the truth.
+/// The platform's list of VMs; it may be out of date.
 struct VmListing {
   std::vector<ListedVm> Vms;
-  /// Names of daemons whose entry VM is finally gone.
+  /// Names of the daemons whose entry VM is permanently gone.
   std::vector<std::string> GoneDaemons;
 };
 
@@ -32,12 +32,12 @@
 public:
   using ReadDone = std::function<void(Result<VmListing>)>;
   virtual ~VmList() = default;
-  /// \param Domain lists the VMs of this failure domain only.
+  /// \param Domain the failure domain whose VMs are listed.
   virtual void read(std::string Domain, ReadDone Done) = 0;
 };
 
-/// The list over HTTP. Results come on the thread of \p ControlLoop; all
-/// arguments must outlive the list.
+/// Reads the list over HTTP. Callbacks run on the thread of \p ControlLoop.
+/// \p Client and \p ControlLoop must outlive the list.
 std::unique_ptr<VmList> makeHttpVmList(std::string BaseUrl, HttpClient &Client,
                                        Loop &ControlLoop);
 
--- a/packages/store/src/FencedWriter.cpp
+++ b/packages/store/src/FencedWriter.cpp
@@ -6,21 +6,23 @@
 
 namespace {
 
-/// Least time between two transactions; bounds the calls to 40 a second.
+/// Minimum time between two transactions; limits a writer to 40 transactions a
+/// second.
 constexpr milliseconds MinSendInterval{25};
-/// Rows in one transaction, below the store's limit of 100 entries, which also
-/// counts the head row and its check.
+/// Stays below the store's limit of 100 entries per transaction, in which the
+/// head row and its check count too.
 constexpr std::size_t MaxRowsPerTransaction = 90;
-/// Bytes in one transaction, well below the store's limit of 1 MB.
+/// A transaction takes no further rows from this size in bytes on, well below
+/// the store's limit of 1 MB.
 constexpr std::size_t MaxBytesPerTransaction = 500'000;
-/// A try is given up after this many times the usual delay, within bounds. A
-/// lost answer stops the writer for as long, and a repeat is harmless; but
-/// repeats to a store that is only slow make it slower, so that the time
-/// doubles with each try.
+/// A try times out after this multiple of the smoothed duration, within the
+/// bounds below. While a response is lost the writer is blocked until the
+/// timeout, and a retry is safe, so the timeout is short; but
+/// retries slow an overloaded store down further, so it doubles with each try.
 constexpr int TimeoutFactor = 6;
 constexpr milliseconds TimeoutMin{200};
 constexpr milliseconds TimeoutMax{1600};
-/// Share of the newest delay in the usual one.
+/// The newest duration contributes one part in this many to the moving average.
 constexpr int SmoothingDivisor = 4;
 constexpr milliseconds RetryDelayMin{50};
 constexpr milliseconds RetryDelayMax{400};
@@ -153,7 +155,7 @@
   Retrying_ = false;
   RetryDelay_ = RetryDelayMin;
   TransactionRows_.clear();
-  // What waits is told when all rows that were put before it are written.
+  // A waiter is notified when all rows that were put before it are written.
   while (!Waiters_.empty() && Waiters_.front().RequiredRows <= DequeuedRows_) {
     const CommittedCallback Done = std::move(Waiters_.front().Done);
     Waiters_.pop_front();
@@ -167,13 +169,14 @@
   const auto Head = std::find_if(
       Outcome.CheckedRows.begin(), Outcome.CheckedRows.end(),
       [this](const StoredRow &Row) { return Row.Name == HeadRow_.Row; });
-  // An earlier try whose answer was lost took effect, if the head row carries
-  // the number of one of the tries. All of them carried the same rows.
+  // If the head row carries the serial number of one of the tries, an earlier
+  // try whose response was lost took effect. All tries carried the same rows.
   const std::int64_t Serial = Head == Outcome.CheckedRows.end()
                                   ? 0
                                   : HeadRow_.DecodeSerial(Head->Value);
   if (Retrying_ && Serial >= FirstTrySerial_) {
-    // When it took effect is not known: the lease counts from before.
+    // Which try took effect is unknown, so that the lease keeps its earlier
+    // start until the next renewal.
     RenewRequested_ = true;
     return handleCommitted(RenewedAt_, Head->Version);
   }
--- a/packages/store/src/ResolvingTable.cpp
+++ b/packages/store/src/ResolvingTable.cpp
@@ -56,7 +56,7 @@
                                    Result<CommitOutcome> Outcome) {
   setReachable(Outcome.has_value());
   if (Outcome) {
-    // A conflict after an uncertain try may be with that very try.
+    // The conflict may be with an earlier try of this transaction.
     if (!Outcome->committed() && Commit->MayHaveCommitted)
       readBack(std::move(Commit), *Outcome);
     else
--- a/packages/store/src/TableFollower.cpp
+++ b/packages/store/src/TableFollower.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// First and longest delay between tries while the store does not answer; short
-/// enough that its return is noticed within a second.
+/// First and longest delay between tries while the store does not respond;
+/// short enough to notice within a second that it is back.
 constexpr milliseconds RetryDelayMin{50};
 constexpr milliseconds RetryDelayMax{800};
-/// A read of one page; several times the store's usual answer under load.
+/// Timeout for reading one page; several times the store's usual response time
+/// under load.
 constexpr milliseconds ReadTimeout{1500};
 
 } // namespace
@@ -47,7 +48,7 @@
 void TableFollower::handlePage(const std::string &Partition,
                                Result<RowPage> Page) {
   if (!Page) {
-    // Answers of this read that are still to come are of no use.
+    // Ignore the pages of this read that have not arrived yet.
     ++ReadGeneration_;
     return retry(&TableFollower::readAll);
   }
--- a/packages/store/tests/FencedWriterTest.cpp
+++ b/packages/store/tests/FencedWriterTest.cpp
@@ -1,4 +1,5 @@
-// The chained writer against a store that loses, delays and refuses.
+// Checks that no row is lost, reordered or written by a replaced writer while
+// the store refuses, delays or loses calls and responses.
 
 #include <random>
 
@@ -17,7 +18,7 @@
   return RowName{"data", "p", "k" + std::to_string(Number)};
 }
 
-/// A writer named \p Name whose head row is "name/serial".
+/// Makes a writer whose head row has the value "NAME/SERIAL".
 std::shared_ptr<FencedWriter> makeWriter(FakeRowStore &Store,
                                          FakeLoop &ControlLoop,
                                          const std::string &Name) {
@@ -35,7 +36,7 @@
                             }});
 }
 
-/// Takes the head row over, as a lease does.
+/// Replaces the head row, as another process does that takes the lease over.
 std::int64_t takeHead(FakeRows &Rows, const std::string &Value) {
   const StoredRow *Row = Rows.find(HeadName);
   RowTransaction Change;
@@ -84,7 +85,7 @@
       ++Requested;
       Writer->whenCommitted([&, Key, Value = Expected[Key]] {
         ++Notified;
-        // What was told to be recorded is in the store, or something newer.
+        // The store has the value that was put, or a later one.
         const StoredRow *Row = Rows.find(dataRow(Key));
         BOOST_REQUIRE(Row != nullptr);
         BOOST_CHECK_GE(std::stoi(Row->Value), std::stoi(Value));
@@ -126,8 +127,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(renewalWithLostReplyDoesNotSwallowLaterRows) {
-  // A renewal without rows takes effect, and its answer is lost. Rows put
-  // meanwhile must not count as written with it.
+  // A renewal without rows takes effect, but its response is lost. Rows that
+  // are put before the retry must not count as written by it.
   FakeLoop ControlLoop;
   FakeRows Rows;
   FakeRowStore Store(Rows, ControlLoop);
@@ -146,8 +147,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(waitersAreNotifiedWhileRowsKeepComing) {
-  // More rows than a transaction takes, all the time: what was put before must
-  // be told as written all the same. Found as starts that were never sent.
+  // Rows are put faster than transactions can take them. A waiter must be
+  // notified once the rows before it are written, even though the queue never
+  // gets empty; otherwise starts that wait for their rows are never sent.
   FakeLoop ControlLoop;
   FakeRows Rows;
   FakeRowStore Store(Rows, ControlLoop);
--- a/packages/store/tests/ResolvingTableTest.cpp
+++ b/packages/store/tests/ResolvingTableTest.cpp
@@ -1,4 +1,5 @@
-// Writes whose reply is lost, before or after they took effect, or late.
+// Checks that writes are resolved whose request or response is lost, or that
+// take effect late.
 
 #include <deque>
 #include <map>
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// Runs work at once or, for delayed work, when asked to.
+/// Queues all work, also delayed work, until drain() runs it.
 class QueuedLoop final : public Loop {
 public:
   void post(Work Run) override { Queued.push_back(std::move(Run)); }
@@ -30,7 +31,7 @@
 
 enum class CommitBehavior { Answered, LostAfter, LostBefore, Late, Refused };
 
-/// A table in memory that does to each commit what the test says.
+/// A table in memory; the test sets what happens to each commit.
 class FakeTable final : public Table {
 public:
   std::deque<CommitBehavior> Behaviors;
--- a/packages/store/tests/TableFollowerTest.cpp
+++ b/packages/store/tests/TableFollowerTest.cpp
@@ -1,4 +1,5 @@
-// Following a table over failures and lost history.
+// Checks that a follower ends with the rows of the table although calls fail
+// and the store discards its history of changes.
 
 #include <map>
 #include <random>
