--- a/packages/base/src/EventId.cpp
+++ b/packages/base/src/EventId.cpp
@@ -112,7 +112,8 @@
     EventInfo{EventId::RunStarted, Severity::Info, "run_started",
               "A VM accepted the start of a run."},
     EventInfo{EventId::RunRefused, Severity::Warning, "run_refused",
-              "A run was not started; its task is placed again."},
+              "The start of a run was not accepted; unless the run may have "
+              "started, its task is placed again."},
     EventInfo{EventId::RunEnded, Severity::Info, "run_ended",
               "A VM reported the end of a run."},
     EventInfo{EventId::RunLost, Severity::Warning, "run_lost",
