--- a/benchmark/SchedulingBenchmark.cpp
+++ b/benchmark/SchedulingBenchmark.cpp
@@ -106,7 +106,7 @@
   });
   const double PerCustomer = bytesPerItem(210, [&](int Index) {
     ContractTerms Terms;
-    Terms.MaxHeld = Capacity{100'000'000, 100'000'000, 100'000};
+    Terms.MaxCapacity = Capacity{100'000'000, 100'000'000, 100'000};
     Terms.TaskStartWithin = milliseconds(10000);
     TestedScheduler->setLimit(fmt::format("customer-{}", Index), Terms);
   });
--- a/benchmark/SiteModel.cpp
+++ b/benchmark/SiteModel.cpp
@@ -60,7 +60,7 @@
   }
   for (int Index = 0; Index < Parameters_.Customers; ++Index) {
     ContractTerms Terms;
-    Terms.MaxHeld = Capacity{TotalMilliCores_, TotalMilliCores_ * 4, 10000};
+    Terms.MaxCapacity = Capacity{TotalMilliCores_, TotalMilliCores_ * 4, 10000};
     Terms.TaskStartWithin = milliseconds(10000);
     Terms.Urgent = Index % UrgentCustomerInterval == 0;
     TestedScheduler.setLimit(fmt::format("c{}", Index), Terms);
--- a/packages/base/include/cuminroad/base/EventId.h
+++ b/packages/base/include/cuminroad/base/EventId.h
@@ -6,8 +6,8 @@
 
 namespace cuminroad {
 
-/// Every event that a process logs. docs/EVENTS.md is the catalogue; a test
-/// holds it equal to eventCatalogue().
+/// Identifies the events that a process logs. docs/EVENTS.md lists them; a test
+/// checks that the page matches eventCatalogue().
 enum class EventId {
   DaemonStarted = 1000,
   DaemonReady = 1001,
@@ -41,9 +41,9 @@
   JobRefused = 1401,
   JobFinished = 1402,
   JobCancelled = 1403,
-  JobReadBack = 1404,
+  JobKnown = 1404,
   JobOutcomeUnknown = 1405,
-  JobLoaded = 1406,
+  JobsLoaded = 1406,
   JobStage = 1407,
   TaskStarted = 1410,
   TaskStartFailed = 1411,
@@ -67,7 +67,7 @@
   LinesDropped = 1700,
 };
 
-/// How urgent an event is.
+/// Severity of an event.
 enum class Severity { Info, Warning, Error };
 
 /// A row of the event catalogue.
@@ -78,7 +78,8 @@
   std::string_view Description;
 };
 
-/// \returns all rows, by rising number. The views live as long as the program.
+/// \returns all rows in ascending order of their numbers. The views live as
+/// long as the program.
 std::span<const EventInfo> eventCatalogue();
 /// \returns the row of \p Id.
 const EventInfo &eventInfo(EventId Id);
--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -6,7 +6,7 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 #include "cuminroad/daemon/JobRow.h"
 
 namespace cuminroad {
@@ -76,7 +76,7 @@
 
 nlohmann::json contractJson(const VersionedContract &Contract) {
   nlohmann::json Output = toJson(Contract.Record);
-  if (const auto Effective = Contract.Record.effective())
+  if (const auto Effective = Contract.Record.effectiveTerms())
     Output["in_force"] = toJson(*Effective);
   return Output;
 }
@@ -320,14 +320,14 @@
   if (!Body)
     return Respond(errorResponse(Body.error()));
   std::vector<Error> Faults;
-  ObjectReader Reader(*Body, "", Faults);
+  JsonObjectReader Reader(*Body, "", Faults);
   ContractChange Change;
   Change.Customer = Customer;
   Change.ExpectedVersion = Reader.integer("expected_version", VersionRange);
   Change.Operator = Reader.text("operator", "");
   if (!isValidCustomerName(Customer))
-    Reader.fault(ErrorCode::ValueOutOfRange, "customer",
-                 "must contain only letters, digits, - and _");
+    Reader.addError(ErrorCode::ValueOutOfRange, "customer",
+                    "must contain only letters, digits, - and _");
   if (Request.Method == "PUT") {
     const nlohmann::json *Terms = Reader.member("terms");
     const auto Parsed = parseContractTerms(
@@ -339,7 +339,7 @@
   }
   Reader.finish();
   if (!Faults.empty())
-    return Respond(errorResponse(joinFaults(Faults)));
+    return Respond(errorResponse(joinErrors(Faults)));
   Components_.SharedConfig.propose(
       Change, [Respond](Result<ChangeResult> Result) {
         if (!Result)
@@ -452,7 +452,7 @@
                           HttpResponder Respond) {
   HttpCall Call;
   Call.Method = Request.Method;
-  Call.Url = Components_.Config.reachable("http://" + Http + Request.Path);
+  Call.Url = Components_.Config.translateUrl("http://" + Http + Request.Path);
   Call.Body = Request.Body;
   Call.Timeout = ForwardTimeout;
   Call.Headers = {{"X-Forwarded-By", Components_.Self.Name}};
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -120,7 +120,7 @@
 }
 
 void EntryDaemon::startComponents() {
-  Components_.RetryingTable.OnReachable = [this](bool Reachable) {
+  Components_.RetryingTable.OnReachabilityChange = [this](bool Reachable) {
     Components_.Events.record(Reachable ? EventId::PlatformBack
                                         : EventId::PlatformLost,
                               Components_.Self.Name);
@@ -205,7 +205,7 @@
 
 void EntryDaemon::sendToPeer(const std::string &Address,
                              const PeerMessage &Message) {
-  PeerSocket_->send(Components_.Config.reachable(Address), encode(Message));
+  PeerSocket_->send(Components_.Config.translateUrl(Address), encode(Message));
 }
 
 void EntryDaemon::scheduleGrantRequest() {
--- a/packages/daemon/src/DomainOwner.cpp
+++ b/packages/daemon/src/DomainOwner.cpp
@@ -192,8 +192,8 @@
   }
   if (TableChanged)
     ++VmTableVersion_;
-  if (OnEntryVmsGone && !Listing.GoneEntries.empty())
-    OnEntryVmsGone(Listing.GoneEntries);
+  if (OnEntryVmsGone && !Listing.GoneDaemons.empty())
+    OnEntryVmsGone(Listing.GoneDaemons);
   runScheduler();
 }
 
@@ -252,7 +252,7 @@
   Grants_.setDaemons(std::move(Names));
   std::map<std::string, ContractTerms> Effective;
   for (const auto &[Customer, Contract] : Context_.SharedConfig.contracts())
-    if (const auto Terms = Contract.Record.effective())
+    if (const auto Terms = Contract.Record.effectiveTerms())
       Effective.emplace(Customer, *Terms);
   for (const auto &[Customer, Terms] : Contracts_)
     if (!Effective.contains(Customer)) {
@@ -354,7 +354,7 @@
   if (Contract == Contracts_.end())
     return Done(failure(ErrorCode::UnknownCustomer, Spec.Customer));
   const auto CheckResult = Scheduler_->checkFeasible(
-      Spec, Shares_->largestShare(Spec.Customer, Contract->second).MaxHeld);
+      Spec, Shares_->largestShare(Spec.Customer, Contract->second).MaxCapacity);
   if (!CheckResult) {
     Context_.Events.record(EventId::JobRefused, Spec.Customer,
                            CheckResult.error().text());
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -39,7 +39,8 @@
                             const RequestFrontend &Frontend,
                             const PeerTraffic &PeerMessages) {
   const RequestOutcomeCounts Outcomes = Frontend.outcomeCounts();
-  const TableUse TableCalls = Components.PlatformTable.use();
+  const TableOperationCounts TableCalls =
+      Components.PlatformTable.operationCounts();
   const HttpTraffic ControlTraffic = Components.ControlClient->traffic();
   const auto Number = [](auto Value) { return static_cast<double>(Value); };
   setGauge("cuminroad_requests_done_total", "Requests answered whole.",
--- a/packages/daemon/src/RequestFrontend.cpp
+++ b/packages/daemon/src/RequestFrontend.cpp
@@ -94,8 +94,9 @@
       IdempotentHeader != "false")
     return failure(ErrorCode::ValueOutOfRange, "X-Idempotent");
   const bool MustNotRepeat =
-      std::find(Terms.NeverRepeat.begin(), Terms.NeverRepeat.end(), Service) !=
-      Terms.NeverRepeat.end();
+      std::find(Terms.NeverRetriedServices.begin(),
+                Terms.NeverRetriedServices.end(),
+                Service) != Terms.NeverRetriedServices.end();
   Parsed.Idempotent = IdempotentHeader == "true" && !MustNotRepeat;
   Parsed.Key = findHeader(Request.Headers, "Idempotency-Key");
   Parsed.Ticket = findHeader(Request.Headers, "X-Ticket");
@@ -275,7 +276,8 @@
                                    Error{ErrorCode::TicketOwnerGone, Daemon}));
   HttpCall Call;
   Call.Method = Request.Method;
-  Call.Url = Context_.Config.reachable("http://" + Member->Http + Request.Path);
+  Call.Url =
+      Context_.Config.translateUrl("http://" + Member->Http + Request.Path);
   for (const char *HeaderName : {"X-Deadline-Ms", "X-Idempotent",
                                  "Idempotency-Key", "X-Ticket", "Content-Type"})
     if (const auto Value = findHeader(Request.Headers, HeaderName);
@@ -356,7 +358,7 @@
       MinAttemptTime);
   HttpCall BackendCall;
   BackendCall.Method = "POST";
-  BackendCall.Url = Context_.Config.reachable(HeldSlot.Url + "/requests");
+  BackendCall.Url = Context_.Config.translateUrl(HeldSlot.Url + "/requests");
   BackendCall.RequestId =
       fmt::format("{}-{}-{}-{}", Context_.Self.Name,
                   Context_.Self.Incarnation.substr(0, IncarnationDigits),
--- a/packages/daemon/src/TablelessTakeover.cpp
+++ b/packages/daemon/src/TablelessTakeover.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
@@ -52,7 +52,7 @@
 void TablelessTakeover::queryVm(const VmSpec &Vm,
                                 const std::shared_ptr<PollRound> &Round) {
   HttpCall Call;
-  Call.Url = Components_.Config.reachable(Vm.Url + "/holder");
+  Call.Url = Components_.Config.translateUrl(Vm.Url + "/holder");
   Call.Timeout = QueryTimeout;
   Components_.ControlClient->send(
       std::move(Call), [this, Round](HttpResult Response) {
--- a/packages/daemon/src/VmSession.cpp
+++ b/packages/daemon/src/VmSession.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cuminroad/base/ObjectReader.h"
+#include "cuminroad/base/JsonObjectReader.h"
 
 namespace cuminroad {
 
@@ -74,7 +74,7 @@
                          std::function<void(HttpResult)> Done) {
   HttpCall Call;
   Call.Method = "POST";
-  Call.Url = Config_.reachable(Claim_.Url + "/" + Path);
+  Call.Url = Config_.translateUrl(Claim_.Url + "/" + Path);
   Call.Body = Body.dump();
   Call.Timeout = Timeout;
   Client_.send(std::move(Call), [Self = shared_from_this(),
--- a/packages/fleet/src/FleetDaemon.cpp
+++ b/packages/fleet/src/FleetDaemon.cpp
@@ -169,7 +169,7 @@
   auto Out = std::make_shared<TableFollower>(
       Store_, Dependencies_.ControlLoop,
       FollowOptions{
-          .Table = std::move(Table), .Partitions = {""}, .Gather = Gather},
+          .Table = std::move(Table), .Partitions = {""}, .BatchDelay = Gather},
       Sink);
   Out->start();
   return Out;
--- a/packages/fleet/src/JobFrontend.cpp
+++ b/packages/fleet/src/JobFrontend.cpp
@@ -109,7 +109,7 @@
     // A conflict means that the row exists already: the job was submitted
     // before and is not duplicated.
     Context_.Events.record(Outcome->committed() ? EventId::JobAccepted
-                                                : EventId::JobReadBack,
+                                                : EventId::JobKnown,
                            Job, describe(Pending->Request));
     return reply(*Pending, SubmitReply{SubmitOutcome::Accepted});
   }
--- a/packages/fleet/src/PoolOwner.cpp
+++ b/packages/fleet/src/PoolOwner.cpp
@@ -66,9 +66,9 @@
 void PoolOwner::start() {
   if (Term_.Inherited)
     InheritedLeasesUntil_ = Context_.MonotonicClock.now() + InheritedLeaseWait;
-  Writer_ = std::make_shared<ChainedWriter>(
+  Writer_ = std::make_shared<FencedWriter>(
       Context_.Store, Context_.ControlLoop, Context_.MonotonicClock,
-      ChainedWriter::Head{
+      FencedWriter::HeadRow{
           ownerRow(Term_.Service),
           [this](std::int64_t Serial) { return headValue(Serial); },
           [this](const std::string &Value) { return serialOf(Value); }});
@@ -87,7 +87,7 @@
       Context_.Store, Context_.ControlLoop,
       FollowOptions{.Table = std::string(RequestTable),
                     .Partitions = requestPartitions(),
-                    .Gather = RequestBatchDelay},
+                    .BatchDelay = RequestBatchDelay},
       *this);
   Requests_->start();
   readProgress("");
@@ -268,7 +268,7 @@
     applyRequest(std::move(Request));
   for (const std::string &Job : LoadedCancels_)
     Scheduler_->cancelJob(Job);
-  Context_.Events.record(EventId::JobLoaded, Term_.Service,
+  Context_.Events.record(EventId::JobsLoaded, Term_.Service,
                          fmt::format("epoch {} jobs {} with progress {}",
                                      Term_.Epoch, LoadedRequests_.size(),
                                      LoadedProgress_.size()));
--- a/packages/fleet/tests/RelayedStoreTest.cpp
+++ b/packages/fleet/tests/RelayedStoreTest.cpp
@@ -175,7 +175,7 @@
   makeFirstCalls();
   Http.Hang = true;
   std::optional<TimePoint> Failed;
-  Store.changes(RowChanges{"t", 0, milliseconds(1500)},
+  Store.changes(ChangesQuery{"t", 0, milliseconds(1500)},
                 [&](const Result<RowPage> &) {
                   Failed = ControlLoop.MonotonicClock.now();
                 });
--- a/packages/pool/src/SchedulingPass.cpp
+++ b/packages/pool/src/SchedulingPass.cpp
@@ -380,7 +380,7 @@
     Vm->BackfillRoom = freeCapacityAt(*Vm, *EarliestStart, Now_) -
                        Step.Plan->reservedCapacity() * TasksHere;
     // A task beside the step must fit now as well as then.
-    Vm->BackfillRoom = smaller(Vm->BackfillRoom, Vm->freeCapacity());
+    Vm->BackfillRoom = componentwiseMin(Vm->BackfillRoom, Vm->freeCapacity());
     Step.ReservedVms.push_back(Vm);
     RemainingTasks -= TasksHere;
   }
--- a/packages/store/include/cuminroad/store/ResolvingTable.h
+++ b/packages/store/include/cuminroad/store/ResolvingTable.h
@@ -10,42 +10,45 @@
 
 namespace cuminroad {
 
-/// Finds out what became of writes whose reply was lost.
+/// Table that determines whether a write took effect whose response was lost.
 ///
-/// It sends the same transaction again: where the first one took effect, the
-/// second one conflicts, and the row read back carries its WriteId. Where it
-/// did not, the second one commits, and the first one, should it still be
-/// under way, conflicts. This holds for transactions that check the version of
-/// the first row that they write; others are passed on unresolved.
+/// It sends the same transaction again. If the first try took effect, the
+/// second one conflicts, and the row that is then read carries its WriteId. If
+/// it did not, the second try commits, and the first one conflicts should it
+/// still reach the table. This holds for transactions that check the version of
+/// the first row that they write; the outcome of others is passed on
+/// unresolved.
 class ResolvingTable final : public Table {
 public:
-  /// \param Tries how often a transaction is sent before WriteOutcomeUnknown
-  /// is passed on.
-  ResolvingTable(Table &Inner, Loop &Home, int Tries);
+  /// \param MaxTries maximum number of tries of a transaction before
+  /// WriteOutcomeUnknown is passed on.
+  ResolvingTable(Table &Inner, Loop &ControlLoop, int MaxTries);
 
   void commit(Transaction Change, CommitDone Done) override;
   void read(std::string Key, RowDone Done) override;
   void scan(std::string Prefix, RowsDone Done) override;
-  /// Called on each change between reachable and not.
-  std::function<void(bool)> OnReachable;
+  /// Called with the new state whenever the table becomes reachable or
+  /// unreachable.
+  std::function<void(bool)> OnReachabilityChange;
   bool reachable() const { return Reachable_; }
 
 private:
-  struct Attempt {
+  struct PendingCommit {
     Transaction Change;
     CommitDone Done;
     int Tries = 0;
     /// An earlier try may have taken effect.
-    bool Uncertain = false;
+    bool MayHaveCommitted = false;
   };
-  void send(std::shared_ptr<Attempt> Open);
-  void settle(std::shared_ptr<Attempt> Open, Result<CommitOutcome> Outcome);
-  void readBack(std::shared_ptr<Attempt> Open, CommitOutcome Conflict);
-  void note(bool Reachable);
+  void send(std::shared_ptr<PendingCommit> Commit);
+  void handleOutcome(std::shared_ptr<PendingCommit> Commit,
+                     Result<CommitOutcome> Outcome);
+  void readBack(std::shared_ptr<PendingCommit> Commit, CommitOutcome Conflict);
+  void setReachable(bool Reachable);
 
   Table &Inner_;
-  Loop &Home_;
-  int Tries_;
+  Loop &ControlLoop_;
+  int MaxTries_;
   bool Reachable_ = true;
   std::minstd_rand Random_{std::random_device{}()};
 };
--- a/tests/fakes/include/cuminroad/fakes/FakeRowStore.h
+++ b/tests/fakes/include/cuminroad/fakes/FakeRowStore.h
@@ -63,7 +63,7 @@
   void commit(RowTransaction Transaction, milliseconds Timeout,
               CommitDone Done) override;
   void read(RowRange Range, milliseconds Timeout, PageDone Done) override;
-  void changes(RowChanges Request, PageDone Done) override;
+  void changes(ChangesQuery Request, PageDone Done) override;
   milliseconds storeTime() const override;
   TimePoint lastContact() const override { return LastContact_; }
 
@@ -79,7 +79,7 @@
     return NextFault ? NextFault() : StoreFault{};
   }
   /// Answers a change feed (long poll) with new changes, or at \p Deadline.
-  void poll(RowChanges Request, TimePoint Deadline, PageDone Done);
+  void poll(ChangesQuery Request, TimePoint Deadline, PageDone Done);
 
   FakeRows &Rows_;
   FakeLoop &ControlLoop_;
--- a/tests/fakes/src/FakeRowStore.cpp
+++ b/tests/fakes/src/FakeRowStore.cpp
@@ -28,11 +28,11 @@
     ChecksHold =
         ChecksHold && (Row == nullptr ? 0 : Row->Version) == Check.Version;
     if (Row != nullptr)
-      Commit.Found.push_back(*Row);
+      Commit.CheckedRows.push_back(*Row);
   }
   if (!ChecksHold)
     return Commit;
-  Commit.Found.clear();
+  Commit.CheckedRows.clear();
   Commit.Version = ++Version;
   for (const RowPut &Put : Transaction.Puts)
     Rows[keyOf(Put.Name)] = StoredRow{Put.Name, Put.Value, Version, false};
@@ -122,7 +122,7 @@
   });
 }
 
-void FakeRowStore::changes(RowChanges Request, PageDone Done) {
+void FakeRowStore::changes(ChangesQuery Request, PageDone Done) {
   ++ReadCalls;
   if (injectedFault().Kind != StoreFault::None) {
     ControlLoop_.after(
@@ -135,7 +135,8 @@
   });
 }
 
-void FakeRowStore::poll(RowChanges Request, TimePoint Deadline, PageDone Done) {
+void FakeRowStore::poll(ChangesQuery Request, TimePoint Deadline,
+                        PageDone Done) {
   if (Request.After < Rows_.CompactedVersion)
     return Done(failure(ErrorCode::HistoryGone));
   RowPage Page = Rows_.changesSince(Request.Table, Request.After);
