--- a/packages/daemon/src/Api.cpp
+++ b/packages/daemon/src/Api.cpp
@@ -319,8 +319,8 @@
   const auto Body = parseJson(Request.Body, false);
   if (!Body)
     return Respond(errorResponse(Body.error()));
-  std::vector<Error> Faults;
-  JsonObjectReader Reader(*Body, "", Faults);
+  std::vector<Error> Errors;
+  JsonObjectReader Reader(*Body, "", Errors);
   ContractChange Change;
   Change.Customer = Customer;
   Change.ExpectedVersion = Reader.integer("expected_version", VersionRange);
@@ -335,11 +335,11 @@
     if (Parsed)
       Change.Terms = *Parsed;
     else
-      Faults.push_back(Parsed.error());
+      Errors.push_back(Parsed.error());
   }
   Reader.finish();
-  if (!Faults.empty())
-    return Respond(errorResponse(joinErrors(Faults)));
+  if (!Errors.empty())
+    return Respond(errorResponse(joinErrors(Errors)));
   Components_.SharedConfig.propose(
       Change, [Respond](Result<ChangeResult> Result) {
         if (!Result)
--- a/packages/daemon/src/GrantMessages.cpp
+++ b/packages/daemon/src/GrantMessages.cpp
@@ -143,8 +143,8 @@
     if (Kind == "n")
       return readNotice(Body);
     return failure(ErrorCode::MalformedInput, "unknown kind of peer message");
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::MalformedInput, Fault.what());
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::MalformedInput, Exception.what());
   }
 }
 
--- a/packages/daemon/src/ShareRow.cpp
+++ b/packages/daemon/src/ShareRow.cpp
@@ -119,8 +119,8 @@
       Row.TransferRequests[Domain] = TransferRequest{
           readAmount(Request.at("amount")), Request.at("order")};
     return Row;
-  } catch (const nlohmann::json::exception &Fault) {
-    return failure(ErrorCode::MalformedInput, Fault.what());
+  } catch (const nlohmann::json::exception &Exception) {
+    return failure(ErrorCode::MalformedInput, Exception.what());
   }
 }
 
--- a/packages/scheduling/src/JobSpec.cpp
+++ b/packages/scheduling/src/JobSpec.cpp
@@ -42,8 +42,8 @@
 }
 
 Result<JobSpec> parseJobSpec(const nlohmann::json &Input) {
-  std::vector<Error> Faults;
-  JsonObjectReader Reader(Input, "", Faults);
+  std::vector<Error> Errors;
+  JsonObjectReader Reader(Input, "", Errors);
   JobSpec Spec;
   Spec.Id = Reader.text("id", "");
   if (Spec.Id.size() > MaxIdLength)
@@ -60,8 +60,8 @@
   Spec.Restartable = Reader.boolean("restartable", true);
   Spec.Checkpointable = Reader.boolean("checkpointable", false);
   Reader.finish();
-  if (!Faults.empty())
-    return tl::unexpected(joinErrors(Faults));
+  if (!Errors.empty())
+    return tl::unexpected(joinErrors(Errors));
   return Spec;
 }
 
--- a/packages/store/src/FencedWriter.cpp
+++ b/packages/store/src/FencedWriter.cpp
@@ -17,8 +17,8 @@
 constexpr std::size_t MaxBytesPerTransaction = 500'000;
 /// A try times out after this multiple of the smoothed duration, within the
 /// bounds below. While a response is lost the writer is blocked until the
-/// timeout, and a retry is safe, so the timeout is short; but
-/// retries slow an overloaded store down further, so it doubles with each try.
+/// timeout, and a retry is safe, so the timeout is short; but retries slow an
+/// overloaded store down further, so it doubles with each try.
 constexpr int TimeoutFactor = 6;
 constexpr milliseconds TimeoutMin{200};
 constexpr milliseconds TimeoutMax{1600};
